--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -9,7 +9,7 @@
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Among, Change, End, LifeDigest, Notice, Standing};
+use crate::quarantine::{Change, End, LifeDigest, Notice, PoolSnapshot, Standing};
 
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
@@ -66,7 +66,7 @@
     }
 
     /// The endpoints among which one is of which a peer tells; `None` where it is not listed.
-    fn among_told(&self, life: LifeDigest) -> Option<Among> {
+    fn among_told(&self, life: LifeDigest) -> Option<PoolSnapshot> {
         let directory = self.directory.borrow();
         let key = directory.by_digest(life)?;
         let pool = &directory.get(key)?.listed.pool;
@@ -74,18 +74,18 @@
     }
 
     /// The endpoints of a pool among which one of them is.
-    pub(super) fn among(&self, pool: &str, key: EndpointKey) -> Among {
+    pub(super) fn among(&self, pool: &str, key: EndpointKey) -> PoolSnapshot {
         let now = self.clock.now();
         let directory = self.directory.borrow();
         let others = directory.of_pool(pool, now).filter(|(k, _)| *k != key);
-        Among {
+        PoolSnapshot {
             pool: digest(pool, None),
             endpoints: others.count() + 1,
         }
     }
 
     /// Runs were lost with an endpoint whose life is over: each of them may have ended it.
-    pub(super) fn suspect(&self, endpoint: LifeDigest, among: Among, lost: &[LostRun]) {
+    pub(super) fn suspect(&self, endpoint: LifeDigest, among: PoolSnapshot, lost: &[LostRun]) {
         let now = self.clock.now();
         for run in lost {
             let end = End {
--- a/src/quarantine/lives.rs
+++ b/src/quarantine/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::case::DATING;
-use super::{Among, End, LifeDigest};
+use super::{End, LifeDigest, PoolSnapshot};
 use crate::clock::Millis;
 
 /// Time for which an endpoint that ended is taken to be down.
@@ -17,7 +17,7 @@
 struct EndedLife {
     at: Millis,
     life: LifeDigest,
-    among: Option<Among>,
+    among: Option<PoolSnapshot>,
 }
 
 impl EndedLife {
@@ -41,7 +41,7 @@
 
 impl Lives {
     /// Remembers that an endpoint ended.
-    pub(super) fn note(&mut self, end: &End, among: Option<Among>) {
+    pub(super) fn note(&mut self, end: &End, among: Option<PoolSnapshot>) {
         if let Some(known) = self.ended.iter_mut().find(|e| e.life == end.endpoint) {
             known.among = known.among.or(among);
             return;
@@ -64,7 +64,7 @@
         let (Some(first), Some(last)) = (row.first(), row.last()) else {
             return 1.0;
         };
-        let known: Vec<Among> = row.iter().filter_map(|end| self.among(end)).collect();
+        let known: Vec<PoolSnapshot> = row.iter().filter_map(|end| self.among(end)).collect();
         let pool = known.first().map(|among| among.pool);
         let fewest = known.iter().map(|among| among.endpoints).min();
         let others = self.ended.iter().filter(|e| {
@@ -82,7 +82,7 @@
     }
 
     /// The endpoints among which one was that ended.
-    fn among(&self, end: &End) -> Option<Among> {
+    fn among(&self, end: &End) -> Option<PoolSnapshot> {
         let mut ended = self.ended.iter();
         ended.find(|e| e.life == end.endpoint)?.among
     }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -65,7 +65,7 @@
 
 /// The endpoints of a pool that took work when one of them ended: a request that is sent to that pool was at one of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Among {
+pub struct PoolSnapshot {
     /// Digest of the pool's name.
     pub pool: u32,
     /// How many they were.
@@ -210,7 +210,7 @@
         &mut self,
         request: Fingerprint,
         end: End,
-        among: Option<Among>,
+        among: Option<PoolSnapshot>,
         now: Millis,
     ) -> Change {
         self.make_room(request, now);
@@ -370,7 +370,12 @@
     }
 
     /// Takes what a peer tells; `among` is of the endpoint that ended.
-    pub fn take_among(&mut self, notice: &Notice, among: Option<Among>, now: Millis) -> Change {
+    pub fn take_among(
+        &mut self,
+        notice: &Notice,
+        among: Option<PoolSnapshot>,
+        now: Millis,
+    ) -> Change {
         let at = |age: u32| now - Millis(u64::from(age));
         match *notice {
             Notice::Ended {
