--- a/src/announced.rs
+++ b/src/announced.rs
@@ -128,7 +128,7 @@
 /// What endpoints had announced whose entries went from the list. An entry that lapsed and is written again is of the same
 /// life, and what that announced still holds.
 #[derive(Debug, Default)]
-pub struct FormerLives {
+pub struct FormerIncarnations {
     by_id: HashMap<String, Former>,
     /// Lives that were kept so far.
     kept: u64,
@@ -144,7 +144,7 @@
     number: u64,
 }
 
-impl FormerLives {
+impl FormerIncarnations {
     /// Remembers what a life has announced, if anything of it still holds.
     pub fn keep(&mut self, id: &str, born: Option<u64>, announced: Announced, now: Millis) {
         if announced.standing(now).is_none() {
@@ -165,7 +165,7 @@
     /// What an endpoint that is listed (again) has announced; nothing where that was another life of it.
     pub fn take(&mut self, id: &str, born: Option<u64>) -> Announced {
         match self.by_id.remove(id) {
-            Some(former) if !is_other_life(former.born, born) => former.announced,
+            Some(former) if !is_other_incarnation(former.born, born) => former.announced,
             _ => Announced::default(),
         }
     }
@@ -180,7 +180,7 @@
 
 /// Whether an entry is of another life of an endpoint; one that does not tell when it began is taken for
 /// the life that is known.
-pub fn is_other_life(known: Option<u64>, told: Option<u64>) -> bool {
+pub fn is_other_incarnation(known: Option<u64>, told: Option<u64>) -> bool {
     match (known, told) {
         (Some(known), Some(told)) => known != told,
         (None, _) | (_, None) => false,
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -10,7 +10,9 @@
 
 use slotmap::{new_key_type, SlotMap};
 
-use crate::announced::{is_other_life, Announced, Announcement, FormerLives, Unwilling};
+use crate::announced::{
+    is_other_incarnation, Announced, Announcement, FormerIncarnations, Unwilling,
+};
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
 pub use crate::direct::listed::{Change, Cordon, Listed, Listing, Revision};
@@ -108,7 +110,7 @@
     arena: SlotMap<EndpointKey, Endpoint>,
     by_id: HashMap<String, EndpointKey>,
     by_digest: HashMap<u32, EndpointKey>,
-    former: FormerLives,
+    former: FormerIncarnations,
     cordons: Cordons,
     /// Whether the list can't be read now.
     away: bool,
@@ -378,7 +380,7 @@
         if endpoint.listed.revision > listed.revision {
             return None;
         }
-        if is_other_life(endpoint.listed.born, listed.born) {
+        if is_other_incarnation(endpoint.listed.born, listed.born) {
             self.remove(key, now);
             self.insert(listed, now);
             return Some(key);
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -16,7 +16,7 @@
 use crate::direct::turnover::Turnover;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::LifeDigest;
+use crate::quarantine::IncarnationDigest;
 
 /// Idle connections kept to one endpoint.
 const MOST_IDLE: usize = 24;
@@ -34,7 +34,7 @@
     /// Pool that it serves.
     pool: String,
     /// Digest of this life of it.
-    life: LifeDigest,
+    life: IncarnationDigest,
     /// Its load.
     pub load: Load,
     /// Its record.
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -9,7 +9,7 @@
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Change, End, LifeDigest, Notice, PoolSnapshot, Standing};
+use crate::quarantine::{Change, End, IncarnationDigest, Notice, PoolSnapshot, Standing};
 
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
@@ -66,7 +66,7 @@
     }
 
     /// The endpoints among which one is of which a peer tells; `None` where it is not listed.
-    fn among_told(&self, life: LifeDigest) -> Option<PoolSnapshot> {
+    fn among_told(&self, life: IncarnationDigest) -> Option<PoolSnapshot> {
         let directory = self.directory.borrow();
         let key = directory.by_digest(life)?;
         let pool = &directory.get(key)?.listed.pool;
@@ -85,7 +85,12 @@
     }
 
     /// Runs were lost with an endpoint whose life is over: each of them may have ended it.
-    pub(super) fn suspect(&self, endpoint: LifeDigest, among: PoolSnapshot, lost: &[LostRun]) {
+    pub(super) fn suspect(
+        &self,
+        endpoint: IncarnationDigest,
+        among: PoolSnapshot,
+        lost: &[LostRun],
+    ) {
         let now = self.clock.now();
         for run in lost {
             let end = End {
@@ -125,7 +130,7 @@
     }
 
     /// A peer saw the life of an endpoint end.
-    fn told_of_end(&self, endpoint: LifeDigest) {
+    fn told_of_end(&self, endpoint: IncarnationDigest) {
         let key = self.directory.borrow().by_digest(endpoint);
         if let Some(key) = key {
             self.endpoint_ended(key, EndSign::Told);
--- a/src/quarantine/lives.rs
+++ b/src/quarantine/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::case::DATING;
-use super::{End, LifeDigest, PoolSnapshot};
+use super::{End, IncarnationDigest, PoolSnapshot};
 use crate::clock::Millis;
 
 /// Time for which an endpoint that ended is taken to be down.
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 struct EndedLife {
     at: Millis,
-    life: LifeDigest,
+    life: IncarnationDigest,
     among: Option<PoolSnapshot>,
 }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -50,13 +50,13 @@
 pub const MOST_NOTICES: usize = 72;
 
 /// One life of an endpoint, as a digest that all entries compute alike.
-pub type LifeDigest = u32;
+pub type IncarnationDigest = u32;
 
 /// An endpoint's life that ended under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
     /// The endpoint's life.
-    pub endpoint: LifeDigest,
+    pub endpoint: IncarnationDigest,
     /// When the run was sent there.
     pub began: Millis,
     /// When it was lost.
--- a/src/quarantine/notice.rs
+++ b/src/quarantine/notice.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{End, LifeDigest};
+use super::{End, IncarnationDigest};
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
@@ -14,7 +14,7 @@
         /// The request.
         request: Fingerprint,
         /// The endpoint's life.
-        endpoint: LifeDigest,
+        endpoint: IncarnationDigest,
         /// Age of the run's beginning.
         began: u32,
         /// Age of its end.
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -27,7 +27,7 @@
 use crate::replica::Stamps;
 use crate::schedule::{Action, Ask, ClassSpec, Scheduler, Shape, TicketKey};
 use crate::settings::SidecarSettings;
-use crate::suspicion::EndpointLives;
+use crate::suspicion::EndpointIncarnation;
 use crate::wire::Load;
 
 /// Time after a change of a pool's places in which some process may still use the old homes:
@@ -91,7 +91,7 @@
     /// The limit that the endpoint has named, and what may be called within it.
     limited: RefCell<Option<Limited>>,
     /// Lives of the endpoint.
-    pub lives: Cell<EndpointLives>,
+    pub lives: Cell<EndpointIncarnation>,
 }
 
 impl std::fmt::Debug for Sidecar {
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -12,28 +12,30 @@
 use crate::link::{LinkError, Reader};
 use crate::node::Node;
 use crate::outcome::{FailReason, NotRunReason, Outcome, UnknownReason};
-use crate::quarantine::{Change, End, LifeDigest, Notice, Standing, ENDS_TO_REFUSE, MOST_NOTICES};
+use crate::quarantine::{
+    Change, End, IncarnationDigest, Notice, Standing, ENDS_TO_REFUSE, MOST_NOTICES,
+};
 use crate::run::Ran;
 use crate::sidecar::Sidecar;
 use crate::wire::{FromSidecar, Offer, Start};
 
 /// The lives of a sidecar's endpoint, as the sidecar counts them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EndpointLives {
+pub struct EndpointIncarnation {
     number: u32,
     is_over: bool,
 }
 
-impl EndpointLives {
+impl EndpointIncarnation {
     /// A digest of the life that goes on, or ended last; no other sidecar's or incarnation's is the same.
-    fn digest(self, instance: &str, incarnation: Incarnation) -> LifeDigest {
+    fn digest(self, instance: &str, incarnation: Incarnation) -> IncarnationDigest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(instance.as_bytes());
         hasher.update(&incarnation.0.to_be_bytes());
         hasher.update(&self.number.to_be_bytes());
         let mut first = [0; 4];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
-        LifeDigest::from_be_bytes(first)
+        IncarnationDigest::from_be_bytes(first)
     }
 }
 
@@ -57,9 +59,9 @@
     }
 }
 
-fn begin_life(lives: &Cell<EndpointLives>) {
-    let EndpointLives { number, is_over } = lives.get();
-    lives.set(EndpointLives {
+fn begin_life(lives: &Cell<EndpointIncarnation>) {
+    let EndpointIncarnation { number, is_over } = lives.get();
+    lives.set(EndpointIncarnation {
         number: number + u32::from(is_over),
         is_over: false,
     });
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::listed;
-use violetline::announced::{Announced, Announcement, FormerLives, NamedLimit};
+use violetline::announced::{Announced, Announcement, FormerIncarnations, NamedLimit};
 use violetline::clock::Millis;
 use violetline::direct::directory::{Change, Directory, Listed, LAPSE_GRACE};
 
@@ -104,7 +104,7 @@
 /// The memory of lives whose entries went is bounded: the oldest is dropped.
 #[test]
 fn bounded_memory() {
-    let mut former = FormerLives::default();
+    let mut former = FormerIncarnations::default();
     let leaves = Announced {
         leaves: true,
         ..Announced::default()
