--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -9,14 +9,14 @@
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Change, End, IncarnationDigest, Notice, PoolSnapshot, Standing};
+use crate::quarantine::{Change, End, IncarnationDigest, Notice, PoolSnapshot, QuarantineStatus};
 
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
-    pub fn standing(&self, request: Fingerprint) -> Standing {
+    pub fn request_status(&self, request: Fingerprint) -> QuarantineStatus {
         self.judge();
         let now = self.clock.now();
-        self.quarantine.borrow().standing(request, now)
+        self.quarantine.borrow().request_status(request, now)
     }
 
     /// Judges the requests that may be the cause of ends, and tells of those that are refused from now on.
@@ -24,8 +24,8 @@
         let now = self.clock.now();
         let refused = self.quarantine.borrow_mut().judge(now);
         for request in refused {
-            if let Standing::Refused { ends, until } =
-                self.quarantine.borrow().standing(request, now)
+            if let QuarantineStatus::Refused { ends, until } =
+                self.quarantine.borrow().request_status(request, now)
             {
                 self.changed(request, Change::Refused { ends, until });
             }
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -7,7 +7,7 @@
 use crate::clock::Millis;
 use crate::direct::decision::RefusedWhy;
 use crate::direct::entry::Account;
-use crate::quarantine::{Standing, ENDS_TO_SEPARATE};
+use crate::quarantine::{QuarantineStatus, ENDS_TO_SEPARATE};
 
 /// Ends in a row from which on a copy is turned away, rather than sent, when it has waited in vain for another one.
 const ENDS_TO_TURN_AWAY: usize = ENDS_TO_SEPARATE;
@@ -31,18 +31,20 @@
                 continue;
             }
             let now = self.entry.clock.now();
-            let (ends, until) = match self.entry.standing(self.request) {
-                Standing::Suspect { ends } if ends >= ENDS_TO_SEPARATE && !is_spread => {
+            let (ends, until) = match self.entry.request_status(self.request) {
+                QuarantineStatus::Suspect { ends } if ends >= ENDS_TO_SEPARATE && !is_spread => {
                     is_spread = true;
                     let spread = Millis(rand::thread_rng().gen_range(0..TURNS_SPREAD_MS));
                     let at = self.entry.clock.now() + spread;
                     self.entry.clock.sleep_until(at).await;
                     continue;
                 }
-                Standing::Clear | Standing::Suspect { .. } => return None,
-                Standing::UnderWay { began, .. } if self.is_own_turn(began) => return None,
-                Standing::Refused { ends, until } => return Some(self.ends_endpoints(ends, until)),
-                Standing::UnderWay { ends, until, .. } => (ends, until),
+                QuarantineStatus::Clear | QuarantineStatus::Suspect { .. } => return None,
+                QuarantineStatus::MustWait { began, .. } if self.is_own_turn(began) => return None,
+                QuarantineStatus::Refused { ends, until } => {
+                    return Some(self.ends_endpoints(ends, until))
+                }
+                QuarantineStatus::MustWait { ends, until, .. } => (ends, until),
             };
             if now >= wait_until {
                 let is_refused = ends >= ENDS_TO_TURN_AWAY;
@@ -67,13 +69,15 @@
     /// Takes the turn of a request under suspicion just before it is sent; false where another copy was first, or
     /// it is refused by now.
     pub(super) fn take_turn(&mut self, now: Millis) -> bool {
-        match self.entry.standing(self.request) {
-            Standing::Clear => true,
-            Standing::UnderWay { began, .. } if self.is_own_turn(began) => true,
-            Standing::Refused { .. } => false,
-            Standing::UnderWay { ends, .. } if ends >= ENDS_TO_TURN_AWAY => false,
-            Standing::UnderWay { .. } if now < self.incoming.at + self.route().target => false,
-            Standing::Suspect { .. } | Standing::UnderWay { .. } => {
+        match self.entry.request_status(self.request) {
+            QuarantineStatus::Clear => true,
+            QuarantineStatus::MustWait { began, .. } if self.is_own_turn(began) => true,
+            QuarantineStatus::Refused { .. } => false,
+            QuarantineStatus::MustWait { ends, .. } if ends >= ENDS_TO_TURN_AWAY => false,
+            QuarantineStatus::MustWait { .. } if now < self.incoming.at + self.route().target => {
+                false
+            }
+            QuarantineStatus::Suspect { .. } | QuarantineStatus::MustWait { .. } => {
                 self.turn = Some(now);
                 self.entry.suspect_began(self.request, now);
                 true
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -74,7 +74,7 @@
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it.
     Clear,
     /// Endpoints ended under it; it may run once at a time, and that is told to others.
@@ -83,7 +83,7 @@
         ends: usize,
     },
     /// The same, and a copy runs somewhere, or another request does that shares its ends, or it is not judged yet.
-    UnderWay {
+    MustWait {
         /// Ends in a row.
         ends: usize,
         /// When that copy was sent; `None` where there is none.
@@ -147,19 +147,19 @@
     }
 
     /// Whether a request may be sent at `now`.
-    pub fn standing(&self, request: Fingerprint, now: Millis) -> Standing {
+    pub fn request_status(&self, request: Fingerprint, now: Millis) -> QuarantineStatus {
         let Some(case) = self.cases.get(&request) else {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         };
         let ends = case.in_a_row();
         if ends == 0 && case.cause_since.is_none() {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         }
         if let Some(until) = Self::refused_until(case).filter(|until| now < *until) {
-            return Standing::Refused { ends, until };
+            return QuarantineStatus::Refused { ends, until };
         }
         if let Some(until) = self.unjudged.get(&request).copied() {
-            return Standing::UnderWay {
+            return QuarantineStatus::MustWait {
                 ends,
                 began: None,
                 until,
@@ -168,18 +168,18 @@
         // A run that began before the last end is that one, or was lost with it.
         let begun = case.began.filter(|at| Some(*at) > case.last_end());
         match begun {
-            Some(began) if now < began + TRIAL_TIME => Standing::UnderWay {
+            Some(began) if now < began + TRIAL_TIME => QuarantineStatus::MustWait {
                 ends,
                 began: Some(began),
                 until: began + TRIAL_TIME,
             },
             _ => match self.rival_until(request, case, now) {
-                Some(until) => Standing::UnderWay {
+                Some(until) => QuarantineStatus::MustWait {
                     ends,
                     began: None,
                     until,
                 },
-                None => Standing::Suspect { ends },
+                None => QuarantineStatus::Suspect { ends },
             },
         }
     }
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::outcome::{FailReason, NotRunReason, Outcome, UnknownReason};
 use crate::quarantine::{
-    Change, End, IncarnationDigest, Notice, Standing, ENDS_TO_REFUSE, MOST_NOTICES,
+    Change, End, IncarnationDigest, Notice, QuarantineStatus, ENDS_TO_REFUSE, MOST_NOTICES,
 };
 use crate::run::Ran;
 use crate::sidecar::Sidecar;
@@ -170,8 +170,9 @@
     if !node.quarantine.borrow_mut().judge(now).is_empty() {
         node.suspicions.send_modify(|changes| *changes += 1);
     }
-    match node.quarantine.borrow().standing(of_job(job), now) {
-        Standing::UnderWay { ends, until, .. } | Standing::Refused { ends, until }
+    match node.quarantine.borrow().request_status(of_job(job), now) {
+        QuarantineStatus::MustWait { ends, until, .. }
+        | QuarantineStatus::Refused { ends, until }
             if ends >= ENDS_TO_REFUSE =>
         {
             let reason = NotRunReason::EndsEndpoints;
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 use violetline::clock::Millis;
 use violetline::direct::peers::{self, Hello, PeerBook, ZoneId, ROUND};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
+use violetline::quarantine::{Change, End, Quarantine, QuarantineStatus, MOST_NOTICES};
 
 use crate::common;
 
@@ -286,20 +286,23 @@
         let fingerprint = Fingerprint(request as u64);
         let now = self.time();
         self.members[entry].quarantine.judge(now);
-        match self.members[entry].quarantine.standing(fingerprint, now) {
-            Standing::Clear => {}
-            Standing::Refused { .. } => {
+        match self.members[entry]
+            .quarantine
+            .request_status(fingerprint, now)
+        {
+            QuarantineStatus::Clear => {}
+            QuarantineStatus::Refused { .. } => {
                 self.requests[request].refused = true;
                 self.refused += 1;
                 return;
             }
-            Standing::UnderWay { ends, .. } if ends >= 2 => {
+            QuarantineStatus::MustWait { ends, .. } if ends >= 2 => {
                 if request != KILLER {
                     self.at(self.now + COMES_AGAIN, Event::Comes(request));
                 }
                 return;
             }
-            Standing::UnderWay { .. } | Standing::Suspect { .. } => {
+            QuarantineStatus::MustWait { .. } | QuarantineStatus::Suspect { .. } => {
                 self.members[entry].quarantine.began(fingerprint, now, now);
                 self.wake(entry);
             }
--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -10,7 +10,7 @@
 use violetline::direct::directory::{digest, Listed};
 use violetline::direct::entry::Entry;
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Notice, Standing};
+use violetline::quarantine::{Notice, QuarantineStatus};
 
 const POLLED: Fingerprint = Fingerprint(1);
 const ENDING: Fingerprint = Fingerprint(2);
@@ -41,7 +41,10 @@
 }
 
 fn is_refused(entry: &Entry, request: Fingerprint) -> bool {
-    matches!(entry.standing(request), Standing::Refused { .. })
+    matches!(
+        entry.request_status(request),
+        QuarantineStatus::Refused { .. }
+    )
 }
 
 /// Three of a pool's four endpoints ended under both. Among the nine endpoints of all pools that would hardly be chance;
@@ -69,15 +72,21 @@
     };
     shared(0);
     entry.suspect_began(ENDING, clock.now());
-    assert_eq!(entry.standing(POLLED), Standing::Suspect { ends: 1 });
+    assert_eq!(
+        entry.request_status(POLLED),
+        QuarantineStatus::Suspect { ends: 1 }
+    );
     shared(1);
-    assert_eq!(entry.standing(POLLED), Standing::Suspect { ends: 2 });
+    assert_eq!(
+        entry.request_status(POLLED),
+        QuarantineStatus::Suspect { ends: 2 }
+    );
     entry.suspect_began(ENDING, clock.now() + Millis(1));
-    let standing = entry.standing(POLLED);
+    let standing = entry.request_status(POLLED);
     assert!(
         matches!(
             standing,
-            Standing::UnderWay {
+            QuarantineStatus::MustWait {
                 ends: 2,
                 began: None,
                 ..
@@ -87,7 +96,10 @@
     );
     clock.advance(Millis(100));
     ended(&entry, ENDING, 2);
-    assert_eq!(entry.standing(POLLED), Standing::Suspect { ends: 2 });
+    assert_eq!(
+        entry.request_status(POLLED),
+        QuarantineStatus::Suspect { ends: 2 }
+    );
     clock.advance(JUDGED);
     assert!(is_refused(&entry, ENDING));
     // One more end, of its own, does not make it the cause: the others are explained.
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -8,7 +8,7 @@
 
 use fleet::{Day, Fleet, KILLER};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Notice, Quarantine, Standing, MOST_NOTICES};
+use violetline::quarantine::{Notice, Quarantine, QuarantineStatus, MOST_NOTICES};
 
 const KILLING: Day = Day {
     entries: 3,
@@ -123,6 +123,6 @@
     told.iter().for_each(|notice: &Notice| {
         fresh.take(notice, now);
     });
-    let standing = fresh.standing(Fingerprint(KILLER as u64), now);
-    assert!(matches!(standing, Standing::Refused { .. }));
+    let standing = fresh.request_status(Fingerprint(KILLER as u64), now);
+    assert!(matches!(standing, QuarantineStatus::Refused { .. }));
 }
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -2,7 +2,7 @@
 
 use violetline::clock::Millis;
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Notice, Quarantine, Standing};
+use violetline::quarantine::{Change, End, Notice, Quarantine, QuarantineStatus};
 
 const REQUEST: Fingerprint = Fingerprint(7);
 
@@ -28,8 +28,8 @@
 fn is_refused(quarantine: &mut Quarantine, at: u64) -> bool {
     quarantine.judge(Millis(u64::MAX));
     matches!(
-        quarantine.standing(REQUEST, Millis(at)),
-        Standing::Refused { .. }
+        quarantine.request_status(REQUEST, Millis(at)),
+        QuarantineStatus::Refused { .. }
     )
 }
 
@@ -37,12 +37,12 @@
 fn third_in_row() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     assert_eq!(
-        seen(&ends[..2]).standing(REQUEST, Millis(600)),
-        Standing::Suspect { ends: 2 }
+        seen(&ends[..2]).request_status(REQUEST, Millis(600)),
+        QuarantineStatus::Suspect { ends: 2 }
     );
     assert!(is_refused(&mut seen(&ends), 600));
-    let other = seen(&ends).standing(Fingerprint(8), Millis(600));
-    assert_eq!(other, Standing::Clear);
+    let other = seen(&ends).request_status(Fingerprint(8), Millis(600));
+    assert_eq!(other, QuarantineStatus::Clear);
 }
 
 /// A rack goes with three endpoints that run copies of one request; or five copies are under way when the first ends.
@@ -51,8 +51,8 @@
     let at_once = [end(1, 0, 900), end(2, 100, 900), end(3, 300, 910)];
     let quarantine = seen(&at_once);
     assert_eq!(
-        quarantine.standing(REQUEST, Millis(1_000)),
-        Standing::Suspect { ends: 1 }
+        quarantine.request_status(REQUEST, Millis(1_000)),
+        QuarantineStatus::Suspect { ends: 1 }
     );
     let mut again = quarantine;
     again.ended(REQUEST, end(4, 1_000, 1_100), Millis(1_100));
@@ -83,8 +83,11 @@
         alone.ended(Fingerprint(9), end, Millis(at + 40));
     }
     alone.judge(Millis(u64::MAX));
-    let standing = alone.standing(Fingerprint(9), Millis(21_100));
-    assert!(matches!(standing, Standing::Refused { ends: 3, .. }));
+    let standing = alone.request_status(Fingerprint(9), Millis(21_100));
+    assert!(matches!(
+        standing,
+        QuarantineStatus::Refused { ends: 3, .. }
+    ));
 }
 
 /// What was lost with the ends of a request that is refused by now is not suspected for those.
@@ -98,8 +101,8 @@
         quarantine.ended(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 1_100));
-    let standing = quarantine.standing(other, Millis(1_100));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = quarantine.request_status(other, Millis(1_100));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
     // One that was at all three ends can't be told from it.
     let mut both = seen(&[end(1, 0, 100), end(2, 200, 300)]);
     for end in [end(1, 0, 101), end(2, 200, 301), end(3, 400, 501)] {
@@ -118,8 +121,8 @@
         quarantine.ended(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 900));
-    let standing = quarantine.standing(other, Millis(900));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = quarantine.request_status(other, Millis(900));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
 }
 
 /// A process that has just started does not know what else ended meanwhile. It refuses what its peers refuse, and nothing
@@ -161,10 +164,10 @@
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let mut alone = seen(&ends);
     assert!(alone.judge(Millis(900)).is_empty());
-    let standing = alone.standing(REQUEST, Millis(900));
+    let standing = alone.request_status(REQUEST, Millis(900));
     assert!(matches!(
         standing,
-        Standing::UnderWay {
+        QuarantineStatus::MustWait {
             ends: 3,
             began: None,
             ..
@@ -176,8 +179,8 @@
         rack.ended(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
     }
     assert!(rack.judge(Millis(1_000)).is_empty());
-    let standing = rack.standing(REQUEST, Millis(1_000));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = rack.request_status(REQUEST, Millis(1_000));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
 }
 
 /// The end of one life counts once, whoever saw it, in whatever order.
@@ -225,7 +228,10 @@
         quarantine.ended(REQUEST, end(3, 150, 350), Millis(450)),
         Change::None
     );
-    assert_eq!(quarantine.standing(REQUEST, Millis(500)), Standing::Clear);
+    assert_eq!(
+        quarantine.request_status(REQUEST, Millis(500)),
+        QuarantineStatus::Clear
+    );
     quarantine.ended(REQUEST, end(4, 500, 600), Millis(600));
     assert_eq!(quarantine.ends(REQUEST), 1);
 }
@@ -235,15 +241,17 @@
     let mut quarantine = seen(&[end(1, 0, 100)]);
     let now = Millis(200);
     assert_eq!(quarantine.began(REQUEST, now, now), Change::Began);
-    let standing = quarantine.standing(REQUEST, Millis(250));
-    assert!(matches!(standing, Standing::UnderWay { ends: 1, began, .. } if began == Some(now)));
+    let standing = quarantine.request_status(REQUEST, Millis(250));
+    assert!(
+        matches!(standing, QuarantineStatus::MustWait { ends: 1, began, .. } if began == Some(now))
+    );
     quarantine.ended(REQUEST, end(2, 200, 300), Millis(300));
-    let standing = quarantine.standing(REQUEST, Millis(310));
-    assert_eq!(standing, Standing::Suspect { ends: 2 });
+    let standing = quarantine.request_status(REQUEST, Millis(310));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
     // A run whose end nobody tells does not hold the next one up for good.
     quarantine.began(REQUEST, Millis(320), Millis(320));
-    let standing = quarantine.standing(REQUEST, Millis(2_000));
-    assert_eq!(standing, Standing::Suspect { ends: 2 });
+    let standing = quarantine.request_status(REQUEST, Millis(2_000));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
 }
 
 /// Hours later, on other engines: it may run once, and is refused for longer where that ends one more.
@@ -255,8 +263,8 @@
     let later = 601_000;
     quarantine.expire(Millis(later));
     assert_eq!(
-        quarantine.standing(REQUEST, Millis(later)),
-        Standing::Suspect { ends: 3 }
+        quarantine.request_status(REQUEST, Millis(later)),
+        QuarantineStatus::Suspect { ends: 3 }
     );
     quarantine.ended(REQUEST, end(4, later, later + 100), Millis(later + 100));
     assert!(is_refused(&mut quarantine, later + 1_190_000));
@@ -265,8 +273,8 @@
         Millis(later + 1_201_000),
         Millis(later + 1_201_000),
     );
-    let standing = quarantine.standing(REQUEST, Millis(later + 1_201_000));
-    assert_eq!(standing, Standing::Clear);
+    let standing = quarantine.request_status(REQUEST, Millis(later + 1_201_000));
+    assert_eq!(standing, QuarantineStatus::Clear);
 }
 
 /// A flood of requests that are each lost once does not make entries forget one that ends endpoints.
