--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -14,15 +14,15 @@
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
     pub fn request_status(&self, request: Fingerprint) -> QuarantineStatus {
-        self.judge();
+        self.evaluate_suspects();
         let now = self.clock.now();
         self.quarantine.borrow().request_status(request, now)
     }
 
     /// Judges the requests that may be the cause of ends, and tells of those that are refused from now on.
-    pub fn judge(&self) {
+    pub fn evaluate_suspects(&self) {
         let now = self.clock.now();
-        let refused = self.quarantine.borrow_mut().judge(now);
+        let refused = self.quarantine.borrow_mut().evaluate_suspects(now);
         for request in refused {
             if let QuarantineStatus::Refused { ends, until } =
                 self.quarantine.borrow().request_status(request, now)
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -46,7 +46,7 @@
                 continue;
             }
         }
-        entry.judge();
+        entry.evaluate_suspects();
         entry.round_limits();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS;
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -239,7 +239,7 @@
     ///
     /// What ended at the same moment is heard some rounds later. Judged at once, one of 1,274 innocent requests was taken
     /// for the cause when a third of 56 endpoints ended together.
-    pub fn judge(&mut self, now: Millis) -> Vec<Fingerprint> {
+    pub fn evaluate_suspects(&mut self, now: Millis) -> Vec<Fingerprint> {
         let due = self.unjudged.iter().filter(|(_, at)| now >= **at);
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
         let mut refused = Vec::new();
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -167,7 +167,12 @@
         return None;
     }
     let now = node.clock.now();
-    if !node.quarantine.borrow_mut().judge(now).is_empty() {
+    if !node
+        .quarantine
+        .borrow_mut()
+        .evaluate_suspects(now)
+        .is_empty()
+    {
         node.suspicions.send_modify(|changes| *changes += 1);
     }
     match node.quarantine.borrow().request_status(of_job(job), now) {
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -217,7 +217,7 @@
     fn round(&mut self, i: usize) {
         self.at(self.now + ROUND.0, Event::Round(i));
         let now = self.time();
-        if !self.members[i].quarantine.judge(now).is_empty() {
+        if !self.members[i].quarantine.evaluate_suspects(now).is_empty() {
             self.wake(i);
         }
         // Nothing that was learned before is told: a round of 450 entries is only worked out where there is something.
@@ -285,7 +285,7 @@
         let entry = self.rng.gen_range(0..self.day.entries);
         let fingerprint = Fingerprint(request as u64);
         let now = self.time();
-        self.members[entry].quarantine.judge(now);
+        self.members[entry].quarantine.evaluate_suspects(now);
         match self.members[entry]
             .quarantine
             .request_status(fingerprint, now)
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -26,7 +26,7 @@
 
 /// Whether it is refused, once it is judged.
 fn is_refused(quarantine: &mut Quarantine, at: u64) -> bool {
-    quarantine.judge(Millis(u64::MAX));
+    quarantine.evaluate_suspects(Millis(u64::MAX));
     matches!(
         quarantine.request_status(REQUEST, Millis(at)),
         QuarantineStatus::Refused { .. }
@@ -82,7 +82,7 @@
         let end = end(30 + i as u32, at, at + 40);
         alone.ended(Fingerprint(9), end, Millis(at + 40));
     }
-    alone.judge(Millis(u64::MAX));
+    alone.evaluate_suspects(Millis(u64::MAX));
     let standing = alone.request_status(Fingerprint(9), Millis(21_100));
     assert!(matches!(
         standing,
@@ -163,7 +163,7 @@
 fn heard_first() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let mut alone = seen(&ends);
-    assert!(alone.judge(Millis(900)).is_empty());
+    assert!(alone.evaluate_suspects(Millis(900)).is_empty());
     let standing = alone.request_status(REQUEST, Millis(900));
     assert!(matches!(
         standing,
@@ -173,12 +173,12 @@
             ..
         }
     ));
-    assert_eq!(alone.judge(Millis(1_000)), [REQUEST]);
+    assert_eq!(alone.evaluate_suspects(Millis(1_000)), [REQUEST]);
     let mut rack = seen(&ends);
     for i in 0..6 {
         rack.ended(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
     }
-    assert!(rack.judge(Millis(1_000)).is_empty());
+    assert!(rack.evaluate_suspects(Millis(1_000)).is_empty());
     let standing = rack.request_status(REQUEST, Millis(1_000));
     assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
 }
