--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -286,7 +286,7 @@
     pub(super) fn open_accounts(&self) {
         let directory = self.directory.borrow();
         let smallest = directory.smallest_pool();
-        self.quarantine.borrow_mut().set_endpoints(smallest);
+        self.quarantine.borrow_mut().set_endpoint_count(smallest);
         let mut accounts = self.accounts.borrow_mut();
         for (key, endpoint) in directory.iter() {
             if !accounts.contains_key(key) {
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -34,7 +34,7 @@
 
     /// A request under suspicion is about to be sent.
     pub fn suspect_began(&self, request: Fingerprint, at: Millis) {
-        let change = self.quarantine.borrow_mut().began(request, at, at);
+        let change = self.quarantine.borrow_mut().record_start(request, at, at);
         self.changed(request, change);
         self.tell_now.notify_one();
     }
@@ -42,7 +42,10 @@
     /// An endpoint finished a request.
     pub fn run_finished(&self, request: Fingerprint) {
         let now = self.clock.now();
-        let change = self.quarantine.borrow_mut().finished(request, now, now);
+        let change = self
+            .quarantine
+            .borrow_mut()
+            .record_completion(request, now, now);
         if change == Change::Cleared {
             self.changed(request, change);
             self.tell_now.notify_one();
@@ -59,7 +62,7 @@
                 self.told_of_end(*endpoint);
             }
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.take_among(notice, among, now);
+            let change = quarantine.apply_notice_in_pool(notice, among, now);
             drop(quarantine);
             self.changed(notice.request(), change);
         }
@@ -99,7 +102,7 @@
                 ended: run.lost,
             };
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.ended_among(run.request, end, Some(among), now);
+            let change = quarantine.record_end_in_pool(run.request, end, Some(among), now);
             drop(quarantine);
             self.changed(run.request, change);
         }
--- a/src/node.rs
+++ b/src/node.rs
@@ -120,7 +120,9 @@
     pub fn count_endpoints(&self) {
         let members = self.replica.members();
         let sidecars = members.instances.iter().filter(|i| i.role == Role::Sidecar);
-        self.quarantine.borrow_mut().set_endpoints(sidecars.count());
+        self.quarantine
+            .borrow_mut()
+            .set_endpoint_count(sidecars.count());
     }
 
     /// Where the process is in its life.
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -201,12 +201,12 @@
     }
 
     /// An endpoint of an unknown pool ended under a request.
-    pub fn ended(&mut self, request: Fingerprint, end: End, now: Millis) -> Change {
-        self.ended_among(request, end, None, now)
+    pub fn record_end(&mut self, request: Fingerprint, end: End, now: Millis) -> Change {
+        self.record_end_in_pool(request, end, None, now)
     }
 
     /// An endpoint ended under a request.
-    pub fn ended_among(
+    pub fn record_end_in_pool(
         &mut self,
         request: Fingerprint,
         end: End,
@@ -300,7 +300,7 @@
     }
 
     /// Tells how many endpoints there are, for ends of endpoints whose pool is not known.
-    pub fn set_endpoints(&mut self, count: usize) {
+    pub fn set_endpoint_count(&mut self, count: usize) {
         self.lives.endpoints = count;
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// A request under suspicion was sent to an endpoint.
-    pub fn began(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
+    pub fn record_start(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(case) = self.cases.get_mut(&request) else {
             return Change::None;
         };
@@ -343,7 +343,7 @@
     }
 
     /// An endpoint finished a request.
-    pub fn finished(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
+    pub fn record_completion(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(case) = self.cases.get_mut(&request) else {
             return Change::None;
         };
@@ -365,12 +365,12 @@
     }
 
     /// Takes what a peer tells, of endpoints of unknown pools.
-    pub fn take(&mut self, notice: &Notice, now: Millis) -> Change {
-        self.take_among(notice, None, now)
+    pub fn apply_notice(&mut self, notice: &Notice, now: Millis) -> Change {
+        self.apply_notice_in_pool(notice, None, now)
     }
 
     /// Takes what a peer tells; `among` is of the endpoint that ended.
-    pub fn take_among(
+    pub fn apply_notice_in_pool(
         &mut self,
         notice: &Notice,
         among: Option<PoolSnapshot>,
@@ -389,11 +389,13 @@
                     began: at(began),
                     ended: at(ended),
                 };
-                self.ended_among(request, end, among, now)
+                self.record_end_in_pool(request, end, among, now)
             }
-            Notice::Began { request, began } => self.began(request, at(began), now),
+            Notice::Began { request, began } => self.record_start(request, at(began), now),
             Notice::Refused { request, since } => self.told_refused(request, at(since), now),
-            Notice::Finished { request, finished } => self.finished(request, at(finished), now),
+            Notice::Finished { request, finished } => {
+                self.record_completion(request, at(finished), now)
+            }
         }
     }
 
@@ -404,7 +406,7 @@
 
     /// What a peer must know that was not heard for a while: the newest of what is refused.
     pub fn refused_notices(&self, most: usize, now: Millis) -> Vec<Notice> {
-        let requests = self.refused(now).into_iter();
+        let requests = self.refused_requests(now).into_iter();
         let all = requests.flat_map(|request| {
             let case = self.cases.get(&request);
             let ends = case.map_or(&[][..], |case| &case.ends);
@@ -419,12 +421,12 @@
     }
 
     /// Ends in a row under a request.
-    pub fn ends(&self, request: Fingerprint) -> usize {
+    pub fn consecutive_ends(&self, request: Fingerprint) -> usize {
         self.cases.get(&request).map_or(0, Case::in_a_row)
     }
 
     /// The requests that are refused now, the newest first.
-    pub fn refused(&self, now: Millis) -> Vec<Fingerprint> {
+    pub fn refused_requests(&self, now: Millis) -> Vec<Fingerprint> {
         let refused = self.cases.iter().filter(|(_, case)| {
             let until = Self::refused_until(case);
             until.is_some_and(|until| now < until)
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -85,7 +85,10 @@
             return Vec::new();
         }
         let request = of_run(offer, start);
-        let change = node.quarantine.borrow_mut().finished(request, now, now);
+        let change = node
+            .quarantine
+            .borrow_mut()
+            .record_completion(request, now, now);
         return told(node, request, change);
     }
     if !may_have_ended(outcome) || !sidecar.endpoint.is_gone().await {
@@ -101,7 +104,7 @@
     };
     let request = of_run(offer, start);
     node.count_endpoints();
-    let change = node.quarantine.borrow_mut().ended(request, end, now);
+    let change = node.quarantine.borrow_mut().record_end(request, end, now);
     tracing::warn!(request = %offer.request, fingerprint = %request, "the endpoint ended under a run");
     told(node, request, change)
 }
@@ -135,7 +138,7 @@
     node.count_endpoints();
     let mut is_new = false;
     for notice in notices {
-        let change = node.quarantine.borrow_mut().take(notice, now);
+        let change = node.quarantine.borrow_mut().apply_notice(notice, now);
         is_new |= change != Change::None;
         if let Change::Refused { ends, .. } = change {
             let fingerprint = notice.request();
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -267,7 +267,7 @@
         let now = self.time();
         let bytes = self.datagrams.remove(&number).unwrap();
         for notice in peers::decode_notices(&bytes).unwrap() {
-            let change = self.members[i].quarantine.take(&notice, now);
+            let change = self.members[i].quarantine.apply_notice(&notice, now);
             if matches!(change, Change::Refused { .. }) {
                 self.wake(i);
             }
@@ -303,7 +303,9 @@
                 return;
             }
             QuarantineStatus::MustWait { .. } | QuarantineStatus::Suspect { .. } => {
-                self.members[entry].quarantine.began(fingerprint, now, now);
+                self.members[entry]
+                    .quarantine
+                    .record_start(fingerprint, now, now);
                 self.wake(entry);
             }
         }
@@ -338,7 +340,7 @@
         };
         let fingerprint = Fingerprint(run.request as u64);
         let member = &mut self.members[run.entry];
-        if member.quarantine.finished(fingerprint, now, now) == Change::Cleared {
+        if member.quarantine.record_completion(fingerprint, now, now) == Change::Cleared {
             self.wake(run.entry);
         }
     }
@@ -375,7 +377,7 @@
             let fingerprint = Fingerprint(run.request as u64);
             self.members[run.entry]
                 .quarantine
-                .ended(fingerprint, end, now);
+                .record_end(fingerprint, end, now);
             self.wake(run.entry);
         }
     }
@@ -413,7 +415,7 @@
 ) -> Member {
     let mut book = PeerBook::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(engines);
+    quarantine.set_endpoint_count(engines);
     book.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -121,7 +121,7 @@
         .refused_notices(MOST_NOTICES, now);
     let mut fresh = Quarantine::started_at(now);
     told.iter().for_each(|notice: &Notice| {
-        fresh.take(notice, now);
+        fresh.apply_notice(notice, now);
     });
     let standing = fresh.request_status(Fingerprint(KILLER as u64), now);
     assert!(matches!(standing, QuarantineStatus::Refused { .. }));
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -17,9 +17,9 @@
 /// A quarantine before twelve endpoints in which these ends were seen as they happened.
 fn seen(ends: &[End]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(12);
+    quarantine.set_endpoint_count(12);
     for end in ends {
-        quarantine.ended(REQUEST, *end, end.ended);
+        quarantine.record_end(REQUEST, *end, end.ended);
     }
     quarantine
 }
@@ -55,8 +55,8 @@
         QuarantineStatus::Suspect { ends: 1 }
     );
     let mut again = quarantine;
-    again.ended(REQUEST, end(4, 1_000, 1_100), Millis(1_100));
-    again.ended(REQUEST, end(5, 1_200, 1_300), Millis(1_300));
+    again.record_end(REQUEST, end(4, 1_000, 1_100), Millis(1_100));
+    again.record_end(REQUEST, end(5, 1_200, 1_300), Millis(1_300));
     assert!(is_refused(&mut again, 1_400));
 }
 
@@ -65,14 +65,14 @@
 fn many_end() {
     let long = [1, 2, 3, 4, 5].map(|i| end(i, u64::from(i) * 1_000 - 900, u64::from(i) * 1_000));
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(9);
+    quarantine.set_endpoint_count(9);
     for i in 0..20 {
         let other = end(100 + i, 0, u64::from(i) * 100);
-        quarantine.ended(Fingerprint(50), other, Millis(2_000));
+        quarantine.record_end(Fingerprint(50), other, Millis(2_000));
     }
     for (i, end) in long.iter().enumerate() {
         assert!(!is_refused(&mut quarantine, end.ended.0), "{i} ends");
-        quarantine.ended(REQUEST, *end, end.ended);
+        quarantine.record_end(REQUEST, *end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 5_100));
     // Where nothing else ends meanwhile the third one tells.
@@ -80,7 +80,7 @@
     for i in 0..3 {
         let at = 20_000 + i * 500;
         let end = end(30 + i as u32, at, at + 40);
-        alone.ended(Fingerprint(9), end, Millis(at + 40));
+        alone.record_end(Fingerprint(9), end, Millis(at + 40));
     }
     alone.evaluate_suspects(Millis(u64::MAX));
     let standing = alone.request_status(Fingerprint(9), Millis(21_100));
@@ -95,10 +95,10 @@
 fn explained_ends() {
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)]);
     assert!(is_refused(&mut quarantine, 600));
-    quarantine.set_endpoints(56);
+    quarantine.set_endpoint_count(56);
     let other = Fingerprint(9);
     for end in [end(1, 0, 101), end(2, 150, 301), end(30, 900, 1_000)] {
-        quarantine.ended(other, end, end.ended);
+        quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 1_100));
     let standing = quarantine.request_status(other, Millis(1_100));
@@ -106,9 +106,9 @@
     // One that was at all three ends can't be told from it.
     let mut both = seen(&[end(1, 0, 100), end(2, 200, 300)]);
     for end in [end(1, 0, 101), end(2, 200, 301), end(3, 400, 501)] {
-        both.ended(other, end, end.ended);
+        both.record_end(other, end, end.ended);
     }
-    both.ended(REQUEST, end(3, 400, 500), Millis(502));
+    both.record_end(REQUEST, end(3, 400, 500), Millis(502));
     assert!(is_refused(&mut both, 600));
 }
 
@@ -118,7 +118,7 @@
     let other = Fingerprint(9);
     let mut quarantine = seen(&[end(2, 200, 300), end(3, 400, 500), end(4, 700, 800)]);
     for end in [end(1, 0, 100), end(2, 150, 301), end(3, 350, 501)] {
-        quarantine.ended(other, end, end.ended);
+        quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 900));
     let standing = quarantine.request_status(other, Millis(900));
@@ -138,9 +138,9 @@
     };
     let fresh_before = |endpoints| {
         let mut fresh = Quarantine::started_at(Millis(0));
-        fresh.set_endpoints(endpoints);
+        fresh.set_endpoint_count(endpoints);
         for (endpoint, age) in [(1, 3_000), (2, 2_500), (3, 2_000), (4, 1_500)] {
-            fresh.take(&ended(endpoint, age), now);
+            fresh.apply_notice(&ended(endpoint, age), now);
         }
         fresh
     };
@@ -151,10 +151,10 @@
         request: REQUEST,
         since: 1_400,
     };
-    let change = fresh.take(&refused, now);
+    let change = fresh.apply_notice(&refused, now);
     assert!(matches!(change, Change::Refused { .. }));
     assert!(is_refused(&mut fresh, 20));
-    let change = fresh.finished(REQUEST, Millis(30), Millis(30));
+    let change = fresh.record_completion(REQUEST, Millis(30), Millis(30));
     assert_eq!(change, Change::Cleared);
 }
 
@@ -176,7 +176,7 @@
     assert_eq!(alone.evaluate_suspects(Millis(1_000)), [REQUEST]);
     let mut rack = seen(&ends);
     for i in 0..6 {
-        rack.ended(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
+        rack.record_end(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
     }
     assert!(rack.evaluate_suspects(Millis(1_000)).is_empty());
     let standing = rack.request_status(REQUEST, Millis(1_000));
@@ -188,12 +188,12 @@
 fn one_life_once() {
     let mut quarantine = seen(&[end(1, 0, 100), end(1, 0, 104), end(2, 200, 300)]);
     assert_eq!(
-        quarantine.ended(REQUEST, end(2, 201, 330), Millis(400)),
+        quarantine.record_end(REQUEST, end(2, 201, 330), Millis(400)),
         Change::None
     );
     assert!(!is_refused(&mut quarantine, 500));
     // The address and the id are the same; the life is another one.
-    quarantine.ended(REQUEST, end(9, 400, 500), Millis(500));
+    quarantine.record_end(REQUEST, end(9, 400, 500), Millis(500));
     assert!(is_refused(&mut quarantine, 600));
 }
 
@@ -203,7 +203,7 @@
     let now = Millis(1_000);
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
         let mut quarantine = Quarantine::default();
-        quarantine.set_endpoints(12);
+        quarantine.set_endpoint_count(12);
         for i in order {
             let told = Notice::Ended {
                 request: REQUEST,
@@ -211,8 +211,8 @@
                 began: (now - all[i].began).as_u32(),
                 ended: (now - all[i].ended).as_u32(),
             };
-            quarantine.take(&told, now);
-            assert_eq!(quarantine.take(&told, now), Change::None);
+            quarantine.apply_notice(&told, now);
+            assert_eq!(quarantine.apply_notice(&told, now), Change::None);
         }
         assert!(is_refused(&mut quarantine, 1_000), "{order:?}");
     }
@@ -222,34 +222,34 @@
 #[test]
 fn finished_clears() {
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
-    let change = quarantine.finished(REQUEST, Millis(400), Millis(400));
+    let change = quarantine.record_completion(REQUEST, Millis(400), Millis(400));
     assert_eq!(change, Change::Cleared);
     assert_eq!(
-        quarantine.ended(REQUEST, end(3, 150, 350), Millis(450)),
+        quarantine.record_end(REQUEST, end(3, 150, 350), Millis(450)),
         Change::None
     );
     assert_eq!(
         quarantine.request_status(REQUEST, Millis(500)),
         QuarantineStatus::Clear
     );
-    quarantine.ended(REQUEST, end(4, 500, 600), Millis(600));
-    assert_eq!(quarantine.ends(REQUEST), 1);
+    quarantine.record_end(REQUEST, end(4, 500, 600), Millis(600));
+    assert_eq!(quarantine.consecutive_ends(REQUEST), 1);
 }
 
 #[test]
 fn one_at_once() {
     let mut quarantine = seen(&[end(1, 0, 100)]);
     let now = Millis(200);
-    assert_eq!(quarantine.began(REQUEST, now, now), Change::Began);
+    assert_eq!(quarantine.record_start(REQUEST, now, now), Change::Began);
     let standing = quarantine.request_status(REQUEST, Millis(250));
     assert!(
         matches!(standing, QuarantineStatus::MustWait { ends: 1, began, .. } if began == Some(now))
     );
-    quarantine.ended(REQUEST, end(2, 200, 300), Millis(300));
+    quarantine.record_end(REQUEST, end(2, 200, 300), Millis(300));
     let standing = quarantine.request_status(REQUEST, Millis(310));
     assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
     // A run whose end nobody tells does not hold the next one up for good.
-    quarantine.began(REQUEST, Millis(320), Millis(320));
+    quarantine.record_start(REQUEST, Millis(320), Millis(320));
     let standing = quarantine.request_status(REQUEST, Millis(2_000));
     assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
 }
@@ -266,9 +266,9 @@
         quarantine.request_status(REQUEST, Millis(later)),
         QuarantineStatus::Suspect { ends: 3 }
     );
-    quarantine.ended(REQUEST, end(4, later, later + 100), Millis(later + 100));
+    quarantine.record_end(REQUEST, end(4, later, later + 100), Millis(later + 100));
     assert!(is_refused(&mut quarantine, later + 1_190_000));
-    quarantine.finished(
+    quarantine.record_completion(
         REQUEST,
         Millis(later + 1_201_000),
         Millis(later + 1_201_000),
@@ -283,10 +283,10 @@
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
     for i in 0..20_000 {
         let now = Millis(1_000 + i);
-        quarantine.ended(Fingerprint(100 + i), end(3, 900, 1_000), now);
+        quarantine.record_end(Fingerprint(100 + i), end(3, 900, 1_000), now);
     }
     assert!(quarantine.len() <= 4_096);
-    assert_eq!(quarantine.ends(REQUEST), 2);
+    assert_eq!(quarantine.consecutive_ends(REQUEST), 2);
 }
 
 #[test]
@@ -298,7 +298,7 @@
     let told = known.refused_notices(72, late);
     let mut newcomer = Quarantine::default();
     for notice in &told {
-        newcomer.take(notice, Millis(500_000));
+        newcomer.apply_notice(notice, Millis(500_000));
     }
     assert!(is_refused(&mut newcomer, 500_010));
     // The ages go on: it is not refused for longer than elsewhere.
