--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -9,7 +9,9 @@
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Change, End, IncarnationDigest, Notice, PoolSnapshot, QuarantineStatus};
+use crate::quarantine::{
+    Change, EndpointEnd, IncarnationDigest, Notice, PoolSnapshot, QuarantineStatus,
+};
 
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
@@ -96,7 +98,7 @@
     ) {
         let now = self.clock.now();
         for run in lost {
-            let end = End {
+            let end = EndpointEnd {
                 endpoint,
                 began: run.began,
                 ended: run.lost,
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -14,7 +14,7 @@
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
 use crate::direct::peers::{self, Covers, Hello, Tell, FAR_BYTES, MOST_BYTES, ROUND};
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 /// Pause after an error of the socket.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -86,11 +86,12 @@
     repeats: bool,
 ) {
     let now = entry.clock.now();
-    let notices = entry
-        .quarantine
-        .borrow()
-        .recent()
-        .since(since, repeats, MOST_NOTICES, now);
+    let notices =
+        entry
+            .quarantine
+            .borrow()
+            .recent()
+            .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
     send_alert(socket, to, &notices).await;
 }
 
@@ -160,7 +161,10 @@
                     let is_new = heard(&entry, from, &hello);
                     if is_new {
                         let now = entry.clock.now();
-                        let refused = entry.quarantine.borrow().refused_notices(MOST_NOTICES, now);
+                        let refused = entry
+                            .quarantine
+                            .borrow()
+                            .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
                         send_alert(&socket, from, &refused).await;
                     }
                     // A peer that is not known learns the zone of this entry at once, and so whom it
--- a/src/direct/peers/alert.rs
+++ b/src/direct/peers/alert.rs
@@ -1,7 +1,7 @@
 //! What an entry tells peers of requests under suspicion, in datagrams of their own: there are none on most days, and
 //! entries that don't know them drop them.
 
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 use super::MOST_BYTES;
 
@@ -10,7 +10,7 @@
 
 /// Writes a datagram; `None` where there is nothing to tell.
 pub fn encode_notices(notices: &[Notice]) -> Option<Vec<u8>> {
-    let told = &notices[..notices.len().min(MOST_NOTICES)];
+    let told = &notices[..notices.len().min(MAX_NOTICES_PER_MESSAGE)];
     if told.is_empty() {
         return None;
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -13,7 +13,7 @@
 use crate::link::{Incoming, Link, LinkError, Reader, Writer};
 use crate::node::Node;
 use crate::overlay;
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 use crate::replica::Stamps;
 use crate::suspicion;
 use crate::wire::{Gossip, GOSSIP_PATH};
@@ -85,7 +85,10 @@
     let mut suspicions = node.suspicions.subscribe();
     send_digest(&mut writer, *changed.borrow_and_update()).await?;
     let now = node.clock.now();
-    let refused = node.quarantine.borrow().refused_notices(MOST_NOTICES, now);
+    let refused = node
+        .quarantine
+        .borrow()
+        .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
     send_notices(&mut writer, refused).await?;
     let mut told_up_to = now;
     let mut beat = Box::pin(sleep(HEARTBEAT));
@@ -106,7 +109,7 @@
                 let notices = node
                     .quarantine
                     .borrow()
-                    .recent().since(told_up_to, false, MOST_NOTICES, now);
+                    .recent().since(told_up_to, false, MAX_NOTICES_PER_MESSAGE, now);
                 told_up_to = now;
                 send_notices(&mut writer, notices).await?;
             }
--- a/src/quarantine/case.rs
+++ b/src/quarantine/case.rs
@@ -1,6 +1,6 @@
 //! What is known of one request under which endpoints ended.
 
-use super::{End, ENDS_TO_REFUSE, ENDS_TO_SEPARATE};
+use super::{EndpointEnd, ENDS_TO_REFUSE, ENDS_TO_SEPARATE};
 use crate::clock::Millis;
 
 /// First time for which it is refused; it doubles with each further end.
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Case {
     /// Ends under it since it was finished last, the oldest first.
-    pub(super) ends: Vec<End>,
+    pub(super) ends: Vec<EndpointEnd>,
     /// When an endpoint finished it last.
     pub(super) finished: Option<Millis>,
     /// When the newest run of it under suspicion began.
@@ -29,13 +29,13 @@
 
 impl Case {
     /// Ends in a row: runs that began after the end of the one before.
-    pub(super) fn row(&self) -> Vec<End> {
+    pub(super) fn row(&self) -> Vec<EndpointEnd> {
         self.row_of(|_| true)
     }
 
     /// The same of those that count.
-    pub(super) fn row_of(&self, counts: impl Fn(&End) -> bool) -> Vec<End> {
-        let mut row: Vec<End> = Vec::with_capacity(self.ends.len());
+    pub(super) fn row_of(&self, counts: impl Fn(&EndpointEnd) -> bool) -> Vec<EndpointEnd> {
+        let mut row: Vec<EndpointEnd> = Vec::with_capacity(self.ends.len());
         for end in self.ends.iter().filter(|end| counts(end)) {
             if row
                 .last()
@@ -55,7 +55,7 @@
     /// Whether another request was at its newest ends as well.
     pub(super) fn shares_ends(&self, other: &Self) -> bool {
         let newest = self.ends.iter().rev().take(ENDS_TO_SEPARATE);
-        let is_shared = |end: &End| other.ends.iter().any(|e| e.endpoint == end.endpoint);
+        let is_shared = |end: &EndpointEnd| other.ends.iter().any(|e| e.endpoint == end.endpoint);
         newest.filter(|end| is_shared(end)).count() == ENDS_TO_SEPARATE
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Adds an end; false where it changes nothing.
-    pub(super) fn add(&mut self, end: End) -> bool {
+    pub(super) fn add(&mut self, end: EndpointEnd) -> bool {
         let is_known = self.ends.iter().any(|e| e.endpoint == end.endpoint);
         let is_settled = self.finished.is_some_and(|at| end.ended <= at);
         if is_known || is_settled {
--- a/src/quarantine/lives.rs
+++ b/src/quarantine/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::case::DATING;
-use super::{End, IncarnationDigest, PoolSnapshot};
+use super::{EndpointEnd, IncarnationDigest, PoolSnapshot};
 use crate::clock::Millis;
 
 /// Time for which an endpoint that ended is taken to be down.
@@ -41,7 +41,7 @@
 
 impl Lives {
     /// Remembers that an endpoint ended.
-    pub(super) fn note(&mut self, end: &End, among: Option<PoolSnapshot>) {
+    pub(super) fn note(&mut self, end: &EndpointEnd, among: Option<PoolSnapshot>) {
         if let Some(known) = self.ended.iter_mut().find(|e| e.life == end.endpoint) {
             known.among = known.among.or(among);
             return;
@@ -60,7 +60,7 @@
     /// run to its last one, an upper bound; `all` are the request's ends, those included that are not in the row.
     ///
     /// Only endpoints of the request's own pool count: it could not have been at any other.
-    pub(super) fn chance(&self, row: &[End], all: &[End]) -> f64 {
+    pub(super) fn chance(&self, row: &[EndpointEnd], all: &[EndpointEnd]) -> f64 {
         let (Some(first), Some(last)) = (row.first(), row.last()) else {
             return 1.0;
         };
@@ -82,13 +82,13 @@
     }
 
     /// The endpoints among which one was that ended.
-    fn among(&self, end: &End) -> Option<PoolSnapshot> {
+    fn among(&self, end: &EndpointEnd) -> Option<PoolSnapshot> {
         let mut ended = self.ended.iter();
         ended.find(|e| e.life == end.endpoint)?.among
     }
 
     /// Of so many endpoints, those that were up before an end, as far as is known: one of them has ended.
-    fn up_before(&self, end: &End, endpoints: usize, pool: Option<u32>) -> usize {
+    fn up_before(&self, end: &EndpointEnd, endpoints: usize, pool: Option<u32>) -> usize {
         let from = end.ended - DOWN_TIME;
         let down = self.ended.iter().filter(|e| {
             let was_down = e.at >= from && e.at <= end.ended && e.life != end.endpoint;
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -47,14 +47,14 @@
 /// Requests that are remembered; a full table takes 1.1 MB.
 const MOST_CASES: usize = 4_096;
 /// Notices in one message at most: with 17 bytes each they fit one packet on any path.
-pub const MOST_NOTICES: usize = 72;
+pub const MAX_NOTICES_PER_MESSAGE: usize = 72;
 
 /// One life of an endpoint, as a digest that all entries compute alike.
 pub type IncarnationDigest = u32;
 
 /// An endpoint's life that ended under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
+pub struct EndpointEnd {
     /// The endpoint's life.
     pub endpoint: IncarnationDigest,
     /// When the run was sent there.
@@ -201,7 +201,7 @@
     }
 
     /// An endpoint of an unknown pool ended under a request.
-    pub fn record_end(&mut self, request: Fingerprint, end: End, now: Millis) -> Change {
+    pub fn record_end(&mut self, request: Fingerprint, end: EndpointEnd, now: Millis) -> Change {
         self.record_end_in_pool(request, end, None, now)
     }
 
@@ -209,7 +209,7 @@
     pub fn record_end_in_pool(
         &mut self,
         request: Fingerprint,
-        end: End,
+        end: EndpointEnd,
         among: Option<PoolSnapshot>,
         now: Millis,
     ) -> Change {
@@ -284,7 +284,7 @@
 
     /// Whether an end under a request is explained by another one that was there: by one that had been taken for the
     /// cause before, or that has gone on to end endpoints without this one.
-    fn is_explained(&self, request: Fingerprint, case: &Case, end: &End) -> bool {
+    fn is_explained(&self, request: Fingerprint, case: &Case, end: &EndpointEnd) -> bool {
         let newest = case.last_end().unwrap_or_default();
         let others = self.cases.iter().filter(|(other, _)| **other != request);
         let mut there = others
@@ -384,7 +384,7 @@
                 began,
                 ended,
             } => {
-                let end = End {
+                let end = EndpointEnd {
                     endpoint,
                     began: at(began),
                     ended: at(ended),
--- a/src/quarantine/notice.rs
+++ b/src/quarantine/notice.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{End, IncarnationDigest};
+use super::{EndpointEnd, IncarnationDigest};
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
@@ -45,7 +45,7 @@
 
 impl Notice {
     /// An end under a request, told at `now`.
-    pub(super) fn of_end(request: Fingerprint, end: &End, now: Millis) -> Self {
+    pub(super) fn of_end(request: Fingerprint, end: &EndpointEnd, now: Millis) -> Self {
         Self::Ended {
             request,
             endpoint: end.endpoint,
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -13,7 +13,8 @@
 use crate::node::Node;
 use crate::outcome::{FailReason, NotRunReason, Outcome, UnknownReason};
 use crate::quarantine::{
-    Change, End, IncarnationDigest, Notice, QuarantineStatus, ENDS_TO_REFUSE, MOST_NOTICES,
+    Change, EndpointEnd, IncarnationDigest, Notice, QuarantineStatus, ENDS_TO_REFUSE,
+    MAX_NOTICES_PER_MESSAGE,
 };
 use crate::run::Ran;
 use crate::sidecar::Sidecar;
@@ -97,7 +98,7 @@
     let mut lives = sidecar.lives.get();
     lives.is_over = true;
     sidecar.lives.set(lives);
-    let end = End {
+    let end = EndpointEnd {
         endpoint: lives.digest(&node.settings.id, node.incarnation),
         began,
         ended: now,
@@ -127,7 +128,7 @@
     let quarantine = node.quarantine.borrow();
     let recent = quarantine
         .recent()
-        .since(Millis(0), false, MOST_NOTICES, now);
+        .since(Millis(0), false, MAX_NOTICES_PER_MESSAGE, now);
     let of_request = recent.into_iter().filter(|n| n.request() == request);
     of_request.collect()
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,7 +8,9 @@
 use violetline::clock::Millis;
 use violetline::direct::peers::{self, Hello, PeerBook, ZoneId, ROUND};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Quarantine, QuarantineStatus, MOST_NOTICES};
+use violetline::quarantine::{
+    Change, EndpointEnd, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE,
+};
 
 use crate::common;
 
@@ -245,10 +247,11 @@
     fn send_notices(&mut self, from: usize, to: SocketAddr, since: Millis, repeats: bool) {
         let now = self.time();
         let member = &mut self.members[from];
-        let notices = member
-            .quarantine
-            .recent()
-            .since(since, repeats, MOST_NOTICES, now);
+        let notices =
+            member
+                .quarantine
+                .recent()
+                .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
         let Some(bytes) = peers::encode_notices(&notices) else {
             return;
         };
@@ -369,7 +372,7 @@
                     self.at(self.now + COMES_AGAIN, Event::Comes(run.request));
                 }
             }
-            let end = End {
+            let end = EndpointEnd {
                 endpoint: (engine as u32) << 16 | life,
                 began: run.began,
                 ended: now,
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -8,7 +8,7 @@
 
 use fleet::{Day, Fleet, KILLER};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Notice, Quarantine, QuarantineStatus, MOST_NOTICES};
+use violetline::quarantine::{Notice, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE};
 
 const KILLING: Day = Day {
     entries: 3,
@@ -118,7 +118,7 @@
     let now = fleet.time();
     let told = fleet.members[1]
         .quarantine
-        .refused_notices(MOST_NOTICES, now);
+        .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
     let mut fresh = Quarantine::started_at(now);
     told.iter().for_each(|notice: &Notice| {
         fresh.apply_notice(notice, now);
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -2,12 +2,12 @@
 
 use violetline::clock::Millis;
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Notice, Quarantine, QuarantineStatus};
+use violetline::quarantine::{Change, EndpointEnd, Notice, Quarantine, QuarantineStatus};
 
 const REQUEST: Fingerprint = Fingerprint(7);
 
-fn end(endpoint: u32, began: u64, ended: u64) -> End {
-    End {
+fn end(endpoint: u32, began: u64, ended: u64) -> EndpointEnd {
+    EndpointEnd {
         endpoint,
         began: Millis(began),
         ended: Millis(ended),
@@ -15,7 +15,7 @@
 }
 
 /// A quarantine before twelve endpoints in which these ends were seen as they happened.
-fn seen(ends: &[End]) -> Quarantine {
+fn seen(ends: &[EndpointEnd]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoint_count(12);
     for end in ends {
