--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,6 +1,6 @@
 //! What limits of endpoints cost an entry of the largest fleet: who decides for an endpoint, a question and its answer.
 
-use violetline::announced::NamedLimit;
+use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Target};
 use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, PeerId, ZoneId};
@@ -62,7 +62,12 @@
 fn question(bencher: divan::Bencher<'_, '_>) {
     let mut limits = Limits::default();
     limits.round(|_| true, NOW);
-    limits.hear(TARGET, NamedLimit::Rate(Rate(3_300)), Millis(4_900), NOW);
+    limits.hear(
+        TARGET,
+        AnnouncedLimit::Rate(Rate(3_300)),
+        Millis(4_900),
+        NOW,
+    );
     let ask = limits.question(TARGET, 1, 0, 0, NOW);
     let bytes = limits::encode(&Message::Ask(ask)).unwrap_or_default();
     let own = Coordinator::Own {
--- a/src/announced.rs
+++ b/src/announced.rs
@@ -16,12 +16,12 @@
     /// For how long it wants no requests from this instance.
     pub rest: Option<Millis>,
     /// The requests a second that it takes from all instances together.
-    pub limit: NamedLimit,
+    pub limit: AnnouncedLimit,
 }
 
 /// What an answer says of a limit for all instances together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum NamedLimit {
+pub enum AnnouncedLimit {
     /// It names none: there is none, or none any more.
     #[default]
     None,
@@ -31,9 +31,9 @@
     Rate(Rate),
 }
 
-impl NamedLimit {
+impl AnnouncedLimit {
     /// Reads the texts in which an answer names a limit, one after the other or as a list: the lowest that can be read.
-    pub fn read<'a>(told: impl Iterator<Item = &'a str>) -> Self {
+    pub fn parse<'a>(told: impl Iterator<Item = &'a str>) -> Self {
         let texts: Vec<&str> = told.flat_map(|text| text.split(',')).collect();
         let rates = texts.iter().filter_map(|text| Rate::parse(text));
         match rates.min() {
@@ -46,14 +46,14 @@
 
 impl Announcement {
     /// Whether it announces nothing against requests.
-    pub const fn is_empty(&self) -> bool {
+    pub const fn accepts_requests(&self) -> bool {
         !self.leaves && self.rest.is_none()
     }
 }
 
 /// The time in a `Retry-After`: seconds, with or without a fraction, or a date, counted from the `Date` of the same answer
 /// (RFC 9110, 10.2.3). `None` for what is no time ahead.
-pub fn retry_after(told: &str, answered: Option<&str>) -> Option<Millis> {
+pub fn parse_retry_after(told: &str, answered: Option<&str>) -> Option<Millis> {
     let told = told.trim();
     let time = match told.parse::<f64>() {
         Ok(seconds) if seconds.is_finite() => Millis((seconds * 1_000.0).ceil() as u64),
@@ -73,17 +73,17 @@
 
 /// What an endpoint has announced so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Announced {
+pub struct AnnouncedState {
     /// Whether it leaves.
     pub leaves: bool,
     /// Until when it wants no requests; a time that is over where it wants them.
     pub rests_until: Millis,
 }
 
-impl Announced {
+impl AnnouncedState {
     /// Takes what an answer announces. Of several times of rest the latest end counts, whichever answer came first;
     /// none is believed for longer than `longest`.
-    pub fn take(&mut self, announcement: Announcement, now: Millis, longest: Millis) {
+    pub fn apply(&mut self, announcement: Announcement, now: Millis, longest: Millis) {
         self.leaves |= announcement.leaves;
         if let Some(rest) = announcement.rest {
             self.rests_until = self.rests_until.max(now + rest.min(longest));
@@ -96,10 +96,10 @@
     }
 
     /// What of it holds now; `None` where nothing does.
-    pub fn standing(&self, now: Millis) -> Option<Unwilling> {
+    pub fn decline_reason(&self, now: Millis) -> Option<DeclineReason> {
         match self {
-            _ if self.leaves => Some(Unwilling::Leaves),
-            _ if self.rests(now) => Some(Unwilling::Rests),
+            _ if self.leaves => Some(DeclineReason::Leaves),
+            _ if self.rests(now) => Some(DeclineReason::Rests),
             _ => None,
         }
     }
@@ -108,14 +108,14 @@
 /// Why an endpoint wants no requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unwilling {
+pub enum DeclineReason {
     /// It leaves.
     Leaves,
     /// It asked for rest.
     Rests,
 }
 
-impl Unwilling {
+impl DeclineReason {
     /// Short name, as a metric label.
     pub const fn label(self) -> &'static str {
         match self {
@@ -139,15 +139,15 @@
 struct Former {
     /// When it began, in ms of Unix time; `None` where that was not told.
     born: Option<u64>,
-    announced: Announced,
+    announced: AnnouncedState,
     /// Its place in the order in which lives were kept.
     number: u64,
 }
 
 impl FormerIncarnations {
     /// Remembers what a life has announced, if anything of it still holds.
-    pub fn keep(&mut self, id: &str, born: Option<u64>, announced: Announced, now: Millis) {
-        if announced.standing(now).is_none() {
+    pub fn keep(&mut self, id: &str, born: Option<u64>, announced: AnnouncedState, now: Millis) {
+        if announced.decline_reason(now).is_none() {
             return;
         }
         if self.by_id.len() >= MOST_FORMER {
@@ -163,10 +163,10 @@
     }
 
     /// What an endpoint that is listed (again) has announced; nothing where that was another life of it.
-    pub fn take(&mut self, id: &str, born: Option<u64>) -> Announced {
+    pub fn take(&mut self, id: &str, born: Option<u64>) -> AnnouncedState {
         match self.by_id.remove(id) {
             Some(former) if !is_other_incarnation(former.born, born) => former.announced,
-            _ => Announced::default(),
+            _ => AnnouncedState::default(),
         }
     }
 
--- a/src/direct/decision.rs
+++ b/src/direct/decision.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::announced::Unwilling;
+use crate::announced::DeclineReason;
 use crate::clock::{Clock, Millis};
 use crate::direct::ends::EndSign;
 use crate::direct::resolve::Denied;
@@ -143,7 +143,7 @@
         left_ms: u64,
         /// Why the endpoint had announced that it wants no requests.
         #[serde(skip_serializing_if = "Option::is_none", default)]
-        against: Option<Unwilling>,
+        against: Option<DeclineReason>,
         /// The limit that the endpoint had named for all instances together, in requests a second.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         limit_per_s: Option<f64>,
@@ -267,7 +267,7 @@
         /// Endpoint.
         endpoint: String,
         /// What.
-        announces: Unwilling,
+        announces: DeclineReason,
         /// For how long, in ms; `None` where it is told no end.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         for_ms: Option<u64>,
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -11,7 +11,7 @@
 use slotmap::{new_key_type, SlotMap};
 
 use crate::announced::{
-    is_other_incarnation, Announced, Announcement, FormerIncarnations, Unwilling,
+    is_other_incarnation, AnnouncedState, Announcement, DeclineReason, FormerIncarnations,
 };
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
@@ -60,7 +60,7 @@
     pub digest: u32,
     /// What it has announced of itself. No word of the list takes that back: the list hears later than the callers
     /// of the endpoint, and not at all while the store is away.
-    pub announced: Announced,
+    pub announced: AnnouncedState,
     /// Until when it warms up by its entries, counted from when they were taken; 0 where none said so.
     told_warm_at: Millis,
     /// When something showed that it may have begun to warm up since its newest entry.
@@ -283,10 +283,10 @@
         announcement: Announcement,
         now: Millis,
         longest: Millis,
-    ) -> Option<Announced> {
+    ) -> Option<AnnouncedState> {
         let endpoint = self.arena.get_mut(key)?;
         let before = endpoint.announced;
-        endpoint.announced.take(announcement, now, longest);
+        endpoint.announced.apply(announcement, now, longest);
         Some(before)
     }
 
@@ -315,7 +315,8 @@
     /// When the first endpoint of a pool has rested that would take work otherwise; `None` where none rests.
     pub fn first_rested(&self, pool: &str, now: Millis) -> Option<Millis> {
         let of_pool = self.arena.values().filter(|e| e.listed.pool == pool);
-        let resting = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
+        let resting =
+            of_pool.filter(|e| e.announced.decline_reason(now) == Some(DeclineReason::Rests));
         let resting = resting.filter(|e| self.is_open(e, e.announced.rests_until));
         resting.map(|e| e.announced.rests_until).min()
     }
@@ -356,7 +357,7 @@
 
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let is_willing = endpoint.announced.standing(now).is_none();
+        let is_willing = endpoint.announced.decline_reason(now).is_none();
         is_willing && endpoint.standing.is_open() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -1,7 +1,7 @@
 //! What endpoints announce of themselves to this entry: taken, logged and counted.
 
 use super::Entry;
-use crate::announced::{Announcement, Unwilling};
+use crate::announced::{Announcement, DeclineReason};
 use crate::clock::Millis;
 use crate::direct::decision::Decision;
 use crate::direct::directory::EndpointKey;
@@ -9,7 +9,7 @@
 impl Entry {
     /// An endpoint announced something of itself in an answer to a request.
     pub fn endpoint_announced(&self, key: EndpointKey, announcement: Announcement, request: &[u8]) {
-        if announcement.is_empty() {
+        if announcement.accepts_requests() {
             return;
         }
         let now = self.clock.now();
@@ -28,16 +28,22 @@
             }
         });
         if announcement.leaves && !before.leaves {
-            self.gauges.announced(Unwilling::Leaves);
-            self.log_announced(request, &endpoint, Unwilling::Leaves, None);
+            self.gauges.announced(DeclineReason::Leaves);
+            self.log_announced(request, &endpoint, DeclineReason::Leaves, None);
         }
         if let Some(rest) = announcement.rest {
-            self.gauges.announced(Unwilling::Rests);
-            self.log_announced(request, &endpoint, Unwilling::Rests, Some(rest));
+            self.gauges.announced(DeclineReason::Rests);
+            self.log_announced(request, &endpoint, DeclineReason::Rests, Some(rest));
         }
     }
 
-    fn log_announced(&self, request: &[u8], endpoint: &str, what: Unwilling, time: Option<Millis>) {
+    fn log_announced(
+        &self,
+        request: &[u8],
+        endpoint: &str,
+        what: DeclineReason,
+        time: Option<Millis>,
+    ) {
         let announced = Decision::EndpointAnnounced {
             endpoint: endpoint.into(),
             announces: what,
@@ -48,8 +54,8 @@
     }
 
     /// Why an endpoint wants no requests now, by its own announcements.
-    pub fn unwilling(&self, key: EndpointKey) -> Option<Unwilling> {
+    pub fn unwilling(&self, key: EndpointKey) -> Option<DeclineReason> {
         let now = self.clock.now();
-        self.directory().get(key)?.announced.standing(now)
+        self.directory().get(key)?.announced.decline_reason(now)
     }
 }
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::Entry;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::decision::Decision;
 use crate::direct::directory::EndpointKey;
@@ -80,7 +80,7 @@
     pub fn endpoint_limited(
         &self,
         key: EndpointKey,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         sent: Millis,
         request: &[u8],
     ) {
--- a/src/direct/gauge.rs
+++ b/src/direct/gauge.rs
@@ -7,7 +7,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use crate::announced::Unwilling;
+use crate::announced::DeclineReason;
 use crate::direct::ends::EndSign;
 use crate::direct::limits::Step;
 
@@ -130,13 +130,13 @@
     }
 
     /// An endpoint announced that it wants no requests.
-    pub fn announced(&self, what: Unwilling) {
+    pub fn announced(&self, what: DeclineReason) {
         let labels = [KeyValue::new("what", what.label())];
         self.announced.add(1, &labels);
     }
 
     /// A request was sent to an endpoint against what that had announced.
-    pub fn sent_against(&self, what: Unwilling) {
+    pub fn sent_against(&self, what: DeclineReason) {
         let labels = [KeyValue::new("what", what.label())];
         self.sent_against.add(1, &labels);
     }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -19,7 +19,7 @@
     decode, encode, Given, Message, PermitAnswer, PermitAsk, ToldWord, MOST_TOLD,
 };
 pub use self::word::Word;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::direct::peers::{Coordinator, ZoneId};
@@ -81,17 +81,17 @@
     pub fn hear(
         &mut self,
         target: Target,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         sent: Millis,
         now: Millis,
     ) -> Option<Option<Rate>> {
         let is_known = self.by_endpoint.contains_key(&target.endpoint);
         let limit = match named {
             // What stood, stands.
-            NamedLimit::Unreadable => return None,
-            NamedLimit::None if !is_known => return None,
-            NamedLimit::None => None,
-            NamedLimit::Rate(rate) => Some(rate),
+            AnnouncedLimit::Unreadable => return None,
+            AnnouncedLimit::None if !is_known => return None,
+            AnnouncedLimit::None => None,
+            AnnouncedLimit::Rate(rate) => Some(rate),
         };
         let heard = now;
         let word = Word { limit, sent, heard };
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -95,7 +95,7 @@
                 "pool": e.listed.pool,
                 "zone": e.listed.zone,
                 "standing": format!("{:?}", e.standing),
-                "announced": e.announced.standing(now),
+                "announced": e.announced.decline_reason(now),
                 "limit_per_s": entry.limit(key).map(Rate::per_s),
             })
         })
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::announced::{self, Announcement, NamedLimit};
+use crate::announced::{self, AnnouncedLimit, Announcement};
 use crate::bundle::PoolKind;
 use crate::ids::{Incarnation, RequestId};
 
@@ -209,10 +209,10 @@
 }
 
 /// The limit that an answer names.
-fn limit<S>(res: &ClientResponse<S>) -> NamedLimit {
+fn limit<S>(res: &ClientResponse<S>) -> AnnouncedLimit {
     let named = res.headers().get_all(LIMIT_HEADER);
     // What is no text can't be read as a limit either.
-    NamedLimit::read(named.map(|value| value.to_str().unwrap_or_default()))
+    AnnouncedLimit::parse(named.map(|value| value.to_str().unwrap_or_default()))
 }
 
 /// Whether an error shows that nothing was sent. awc also says `Connect(Disconnected)` when the
@@ -238,7 +238,7 @@
     let answered = header(DATE.as_str());
     let announcement = Announcement {
         leaves: header(LEAVING_HEADER).as_deref() == Some("1"),
-        rest: rest.and_then(|told| announced::retry_after(&told, answered.as_deref())),
+        rest: rest.and_then(|told| announced::parse_retry_after(&told, answered.as_deref())),
         limit: limit(&res),
     };
     Reply {
--- a/src/sidecar/limited.rs
+++ b/src/sidecar/limited.rs
@@ -1,7 +1,7 @@
 //! The limit that the endpoint names. All calls to it pass here, so this process keeps the limit by itself.
 
 use super::Sidecar;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::limits::{Allowance, Word};
 use crate::direct::load::BANDS;
@@ -15,12 +15,12 @@
 
 impl Sidecar {
     /// Takes what an answer to a call says of a limit.
-    pub fn limited(&self, named: NamedLimit, sent: Millis) {
+    pub fn limited(&self, named: AnnouncedLimit, sent: Millis) {
         let heard = self.node.clock.now();
         let limit = match named {
-            NamedLimit::Unreadable => return,
-            NamedLimit::None => None,
-            NamedLimit::Rate(rate) => Some(rate),
+            AnnouncedLimit::Unreadable => return,
+            AnnouncedLimit::None => None,
+            AnnouncedLimit::Rate(rate) => Some(rate),
         };
         let word = Word { limit, sent, heard };
         let mut limited = self.limited.borrow_mut();
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::listed;
-use violetline::announced::{Announced, Announcement, FormerIncarnations, NamedLimit};
+use violetline::announced::{AnnouncedLimit, AnnouncedState, Announcement, FormerIncarnations};
 use violetline::clock::Millis;
 use violetline::direct::directory::{Change, Directory, Listed, LAPSE_GRACE};
 
@@ -11,14 +11,14 @@
 const LEAVES: Announcement = Announcement {
     leaves: true,
     rest: None,
-    limit: NamedLimit::None,
+    limit: AnnouncedLimit::None,
 };
 
 fn rest(ms: u64) -> Announcement {
     Announcement {
         leaves: false,
         rest: Some(Millis(ms)),
-        limit: NamedLimit::None,
+        limit: AnnouncedLimit::None,
     }
 }
 
@@ -93,11 +93,11 @@
 
 #[test]
 fn latest_end() {
-    let mut announced = Announced::default();
-    announced.take(rest(5_000), Millis(0), LONGEST);
-    announced.take(rest(500), Millis(100), LONGEST);
+    let mut announced = AnnouncedState::default();
+    announced.apply(rest(5_000), Millis(0), LONGEST);
+    announced.apply(rest(500), Millis(100), LONGEST);
     assert_eq!(announced.rests_until, Millis(5_000));
-    announced.take(rest(u64::MAX), Millis(200), LONGEST);
+    announced.apply(rest(u64::MAX), Millis(200), LONGEST);
     assert_eq!(announced.rests_until, Millis(200) + LONGEST);
 }
 
@@ -105,17 +105,17 @@
 #[test]
 fn bounded_memory() {
     let mut former = FormerIncarnations::default();
-    let leaves = Announced {
+    let leaves = AnnouncedState {
         leaves: true,
-        ..Announced::default()
+        ..AnnouncedState::default()
     };
     for i in 0..5_000 {
         former.keep(&format!("i-{i}"), None, leaves, Millis(0));
     }
-    assert_eq!(former.take("i-0", None), Announced::default());
+    assert_eq!(former.take("i-0", None), AnnouncedState::default());
     assert_eq!(former.take("i-4999", None), leaves);
     let kept = (0..4_999).filter(|i| former.take(&format!("i-{i}"), None).leaves);
     assert_eq!(kept.count(), 4_095);
-    former.keep("over", None, Announced::default(), Millis(0));
-    assert_eq!(former.take("over", None), Announced::default());
+    former.keep("over", None, AnnouncedState::default(), Millis(0));
+    assert_eq!(former.take("over", None), AnnouncedState::default());
 }
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::rc::Rc;
 
-use violetline::announced::Unwilling;
+use violetline::announced::DeclineReason;
 use violetline::clock::{Clock, Millis};
 use violetline::direct::decision::{Decision, DecisionLog, EndedHow, RefusedWhy};
 use violetline::direct::ends::EndSign;
@@ -201,7 +201,7 @@
     for endpoint in ["i-1", "i-2"] {
         log.belief(Decision::EndpointAnnounced {
             endpoint: endpoint.into(),
-            announces: Unwilling::Rests,
+            announces: DeclineReason::Rests,
             for_ms: Some(3_000),
             in_answer_to: "9c40".into(),
         });
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::hello;
-use violetline::announced::NamedLimit;
+use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Allowance, Given, Limits, Step, Target};
 use violetline::direct::peers::{Coordinator, Hello, PeerBook, ZoneId};
@@ -99,7 +99,7 @@
     limits.round(|_| true, Millis(1_000));
     limits.hear(
         TARGET,
-        NamedLimit::Rate(Rate(1_000)),
+        AnnouncedLimit::Rate(Rate(1_000)),
         Millis(1_000),
         Millis(1_001),
     );
@@ -132,7 +132,7 @@
     let mut asker = Limits::default();
     asker.hear(
         TARGET,
-        NamedLimit::Rate(Rate(1_000)),
+        AnnouncedLimit::Rate(Rate(1_000)),
         Millis(900),
         Millis(950),
     );
@@ -142,7 +142,7 @@
     assert_eq!(answer.given, Given::Elsewhere(other));
     let answer = limits.asked(&ask, OWN, Millis(1_001));
     assert_eq!(answer.given, Given::Permits(1));
-    limits.hear(TARGET, NamedLimit::None, Millis(1_002), Millis(1_010));
+    limits.hear(TARGET, AnnouncedLimit::None, Millis(1_002), Millis(1_010));
     let ask = asker.question(TARGET, 2, 0, 0, Millis(1_012));
     let answer = limits.asked(&ask, OWN, Millis(1_012));
     asker.answered(TARGET, other, Some(&answer), 0, Millis(1_014));
@@ -153,7 +153,12 @@
 #[test]
 fn no_answer() {
     let mut limits = Limits::default();
-    limits.hear(TARGET, NamedLimit::Rate(Rate(1_000)), Millis(0), Millis(10));
+    limits.hear(
+        TARGET,
+        AnnouncedLimit::Rate(Rate(1_000)),
+        Millis(0),
+        Millis(10),
+    );
     let peer = ([10, 0, 0, 9], 7_000).into();
     let step = limits.step(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
     assert_eq!(step, Step::Ask(peer));
--- a/tests/limit_words.rs
+++ b/tests/limit_words.rs
@@ -1,6 +1,6 @@
 //! Which of two answers counts that name another limit, or none.
 
-use violetline::announced::NamedLimit;
+use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Limits, Target, Word};
 use violetline::rate::Rate;
@@ -11,12 +11,12 @@
 };
 
 /// An answer names a limit, in thousandths of a request a second.
-fn named(limit: u32) -> NamedLimit {
-    NamedLimit::Rate(Rate(limit))
+fn named(limit: u32) -> AnnouncedLimit {
+    AnnouncedLimit::Rate(Rate(limit))
 }
 
 /// The limit in force after some answers: what each names, when its request was sent, and when it came.
-fn after(answers: &[(NamedLimit, u64, u64)]) -> Option<Rate> {
+fn after(answers: &[(AnnouncedLimit, u64, u64)]) -> Option<Rate> {
     let mut limits = Limits::default();
     for (named, sent, heard) in answers {
         limits.hear(ENDPOINT, *named, Millis(*sent), Millis(*heard));
@@ -27,7 +27,7 @@
 /// Lower at once, higher and none only where the request was sent after the lower one was heard.
 #[test]
 fn lower_first() {
-    let (ten, one, none) = (named(10_000), named(1_000), NamedLimit::None);
+    let (ten, one, none) = (named(10_000), named(1_000), AnnouncedLimit::None);
     assert_eq!(after(&[(ten, 10, 20), (one, 5, 30)]), Some(Rate(1_000)));
     assert_eq!(after(&[(one, 10, 20), (ten, 15, 30)]), Some(Rate(1_000)));
     assert_eq!(after(&[(one, 10, 20), (ten, 20, 30)]), Some(Rate(10_000)));
@@ -43,7 +43,7 @@
 /// nobody knows the time of end it.
 #[test]
 fn late_answers() {
-    let (one, none) = (named(1_000), NamedLimit::None);
+    let (one, none) = (named(1_000), AnnouncedLimit::None);
     assert_eq!(after(&[(one, 10, 20), (none, 40, 50), (one, 30, 35)]), None);
     assert_eq!(after(&[(one, 10, 20), (none, 0, 50)]), Some(Rate(1_000)));
 }
@@ -51,9 +51,9 @@
 /// What can't be read changes nothing, and an endpoint that never named a limit has none.
 #[test]
 fn nothing_said() {
-    let unreadable = NamedLimit::Unreadable;
+    let unreadable = AnnouncedLimit::Unreadable;
     assert_eq!(
-        after(&[(unreadable, 10, 20), (NamedLimit::None, 30, 40)]),
+        after(&[(unreadable, 10, 20), (AnnouncedLimit::None, 30, 40)]),
         None
     );
     assert_eq!(
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -8,7 +8,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use violetline::announced::NamedLimit;
+use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
 use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, ZoneId, ROUND};
@@ -478,8 +478,8 @@
             return;
         }
         let named = match engine < self.day.limited {
-            true => NamedLimit::Rate(Rate(self.day.limit)),
-            false => NamedLimit::None,
+            true => AnnouncedLimit::Rate(Rate(self.day.limit)),
+            false => AnnouncedLimit::None,
         };
         let t = target(engine, self.day.zones);
         member.limits.hear(t, named, Millis(sent), Millis(self.now));
--- a/tests/platform_announcements.rs
+++ b/tests/platform_announcements.rs
@@ -2,7 +2,7 @@
 
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
-use violetline::announced::{Announcement, NamedLimit};
+use violetline::announced::{AnnouncedLimit, Announcement};
 use violetline::direct::dialect::Dialect;
 use violetline::platform::Platform;
 use violetline::rate::Rate;
@@ -33,7 +33,7 @@
         &[("server-leaving", "")],
         &[],
     ] {
-        assert!(announced(200, headers).is_empty(), "{headers:?}");
+        assert!(announced(200, headers).accepts_requests(), "{headers:?}");
     }
     let other = announced(421, &[("server-leaving", "1")]);
     assert!(!other.leaves, "another endpoint than the one meant says it");
@@ -77,20 +77,24 @@
 fn limit_read() {
     let sealed = ("x-response-seal", "s");
     let limit = |told: &str| announced(200, &[("server-limit", told), sealed]).limit;
-    assert_eq!(limit("3.3"), NamedLimit::Rate(Rate(3_300)));
-    assert_eq!(limit(" 50 "), NamedLimit::Rate(Rate(50_000)));
-    assert_eq!(limit("0"), NamedLimit::Rate(Rate(0)));
-    assert_eq!(limit("0.0004"), NamedLimit::Rate(Rate(0)));
-    assert_eq!(limit("99999999999"), NamedLimit::Rate(Rate(u32::MAX)));
-    assert_eq!(limit("4, 2, 3"), NamedLimit::Rate(Rate(2_000)));
-    assert_eq!(limit("soon, 2"), NamedLimit::Rate(Rate(2_000)));
+    assert_eq!(limit("3.3"), AnnouncedLimit::Rate(Rate(3_300)));
+    assert_eq!(limit(" 50 "), AnnouncedLimit::Rate(Rate(50_000)));
+    assert_eq!(limit("0"), AnnouncedLimit::Rate(Rate(0)));
+    assert_eq!(limit("0.0004"), AnnouncedLimit::Rate(Rate(0)));
+    assert_eq!(limit("99999999999"), AnnouncedLimit::Rate(Rate(u32::MAX)));
+    assert_eq!(limit("4, 2, 3"), AnnouncedLimit::Rate(Rate(2_000)));
+    assert_eq!(limit("soon, 2"), AnnouncedLimit::Rate(Rate(2_000)));
     for unreadable in ["", "-1", "NaN", "inf", "1e9", "1.2.3", "few", "."] {
-        assert_eq!(limit(unreadable), NamedLimit::Unreadable, "{unreadable}");
+        assert_eq!(
+            limit(unreadable),
+            AnnouncedLimit::Unreadable,
+            "{unreadable}"
+        );
     }
     let twice = announced(503, &[("server-limit", "2"), ("server-limit", "1.5")]);
-    assert_eq!(twice.limit, NamedLimit::Rate(Rate(1_500)));
+    assert_eq!(twice.limit, AnnouncedLimit::Rate(Rate(1_500)));
     let other = announced(421, &[("server-limit", "2"), sealed]);
-    assert_eq!(other.limit, NamedLimit::Unreadable);
-    assert_eq!(announced(200, &[sealed]).limit, NamedLimit::None);
-    assert_eq!(announced(200, &[]).limit, NamedLimit::Unreadable);
+    assert_eq!(other.limit, AnnouncedLimit::Unreadable);
+    assert_eq!(announced(200, &[sealed]).limit, AnnouncedLimit::None);
+    assert_eq!(announced(200, &[]).limit, AnnouncedLimit::Unreadable);
 }
