--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -9,7 +9,7 @@
 use crate::direct::load::{Load, Work};
 use crate::direct::prefix::Part;
 use crate::direct::room::RoomFor;
-use crate::spread::spread;
+use crate::mix_bits::mix_bits;
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
@@ -56,7 +56,7 @@
     /// nothing is shared.
     pub fn home_weight(&self, digest: u32) -> Option<u64> {
         let last = self.parts.len().checked_sub(2)?;
-        Some(spread(self.parts[last].id ^ spread(u64::from(digest))))
+        Some(mix_bits(self.parts[last].id ^ mix_bits(u64::from(digest))))
     }
 
     /// The random number of one endpoint, by the digest of its identity.
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -9,7 +9,7 @@
 
 use super::{Peer, PeerBook, ZoneId};
 use crate::clock::Millis;
-use crate::spread::spread;
+use crate::mix_bits::mix_bits;
 
 /// Silence after which an entry of the own zone no longer counts as a coordinator.
 const SILENCE: Millis = Millis(1_000);
@@ -186,6 +186,6 @@
             sum.rotate_left(16).wrapping_add(u64::from(*part))
         }),
     };
-    let address = spread(ip ^ (u64::from(entry.port()) << 48));
-    spread(address ^ spread(u64::from(endpoint)))
+    let address = mix_bits(ip ^ (u64::from(entry.port()) << 48));
+    mix_bits(address ^ mix_bits(u64::from(endpoint)))
 }
