--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -77,7 +77,7 @@
         Outcome::NotRun { reason, .. } => reason.try_elsewhere() && !is_keyed(job),
         Outcome::Unknown(_) | Outcome::Failed(_) if !job.once => {
             let allowed = match job.is_resumable() {
-                true => rerun::wait(entry).await,
+                true => rerun::wait_for_budget(entry).await,
                 false => entry.reruns.borrow_mut().withdraw(),
             };
             if allowed {
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -78,7 +78,7 @@
             if !self.may_resume(&outcome) {
                 return Step::End(outcome);
             }
-            if !rerun::wait(&self.entry).await {
+            if !rerun::wait_for_budget(&self.entry).await {
                 tracing::info!(request = %self.job.request, "no rerun was allowed in time");
                 return Step::End(outcome);
             }
@@ -138,7 +138,7 @@
         let now = self.entry.node.clock.now();
         self.entry.router.borrow_mut().failed(now, &lost);
         self.job.avoid.push(lost);
-        let until = now + rerun::PATIENCE;
+        let until = now + rerun::MAX_WAIT;
         loop {
             match attempt::place(&self.entry, &mut self.job).await {
                 Placed::Running(mut running) => {
@@ -148,7 +148,7 @@
                 }
                 Placed::Ended(end) if self.may_turn_back(broke, &end) => self.job.avoid.clear(),
                 Placed::Ended(end) if self.may_search_again(&end, until) => {
-                    rerun::pause_before_look().await;
+                    rerun::pause_before_poll().await;
                 }
                 Placed::Ended(end) => return Err(Some(end)),
                 Placed::Replay(_) => return Err(None),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -160,7 +160,7 @@
             Ok(())
         }
         Gossip::Notices(notices) => {
-            suspicion::take(node, &notices);
+            suspicion::apply_notices(node, &notices);
             Ok(())
         }
     }
--- a/src/offer.rs
+++ b/src/offer.rs
@@ -147,7 +147,7 @@
                 entry.router.borrow_mut().heard(now, &instance.id, load);
                 return (ended == request).then_some(Reply::Ended(outcome));
             }
-            FromSidecar::Notices(notices) => suspicion::take(&entry.node, &notices),
+            FromSidecar::Notices(notices) => suspicion::apply_notices(&entry.node, &notices),
             FromSidecar::Started | FromSidecar::Head { .. } | FromSidecar::Chunk { .. } => {
                 return None
             }
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -134,7 +134,7 @@
 }
 
 /// Takes what another process tells.
-pub fn take(node: &Node, notices: &[Notice]) {
+pub fn apply_notices(node: &Node, notices: &[Notice]) {
     let now = node.clock.now();
     node.count_endpoints();
     let mut is_new = false;
@@ -158,7 +158,7 @@
 ) -> Result<Option<FromSidecar>, LinkError> {
     loop {
         match reader.next::<FromSidecar>().await? {
-            Some(FromSidecar::Notices(notices)) => take(&entry.node, &notices),
+            Some(FromSidecar::Notices(notices)) => apply_notices(&entry.node, &notices),
             message => return Ok(message),
         }
     }
