--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -26,7 +26,7 @@
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It does.
     Ready,
     /// It finishes what it has.
@@ -37,7 +37,7 @@
     Displaced,
 }
 
-impl Standing {
+impl EndpointStatus {
     /// Whether an endpoint that stands so takes new work.
     const fn is_open(self) -> bool {
         match self {
@@ -53,7 +53,7 @@
     /// Its newest entry.
     pub listed: Listed,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Digest of this life of it, for messages between entries.
     pub digest: u32,
     /// What it has announced of itself. No word of the list takes that back: the list hears later than the callers
@@ -130,7 +130,7 @@
         self.away = false;
         self.returned = Some(now);
         for endpoint in self.arena.values_mut() {
-            if let Standing::Lapsed(until) = &mut endpoint.standing {
+            if let EndpointStatus::Lapsed(until) = &mut endpoint.status {
                 *until = now + LAPSE_GRACE;
             }
         }
@@ -225,7 +225,7 @@
     /// Finds lapsed entries whose address another endpoint has been listed at since. What is sent for them reaches that
     /// one, though it may rest, and is refused there.
     fn displace(&mut self) {
-        let is_lapsed = |e: &Endpoint| matches!(e.standing, Standing::Lapsed(_));
+        let is_lapsed = |e: &Endpoint| matches!(e.status, EndpointStatus::Lapsed(_));
         if !self.arena.values().any(is_lapsed) {
             return;
         }
@@ -237,7 +237,7 @@
         for endpoint in self.arena.values_mut().filter(|e| is_lapsed(e)) {
             let newest = listed.get(&endpoint.listed.address);
             if newest.is_some_and(|newest| *newest > endpoint.listed.revision) {
-                endpoint.standing = Standing::Displaced;
+                endpoint.status = EndpointStatus::Displaced;
             }
         }
     }
@@ -247,10 +247,10 @@
         let over: Vec<EndpointKey> = self
             .arena
             .iter()
-            .filter(|(_, e)| match e.standing {
-                Standing::Lapsed(until) => now >= until,
-                Standing::Displaced => true,
-                Standing::Ready | Standing::Draining => false,
+            .filter(|(_, e)| match e.status {
+                EndpointStatus::Lapsed(until) => now >= until,
+                EndpointStatus::Displaced => true,
+                EndpointStatus::Ready | EndpointStatus::Draining => false,
             })
             .map(|(key, _)| key)
             .collect();
@@ -320,7 +320,8 @@
 
     /// What the platform's list held by the newest changes: all endpoints but those whose entries lapsed, and the cordons.
     pub fn listing(&self) -> Listing {
-        let is_listed = |e: &&Endpoint| matches!(e.standing, Standing::Ready | Standing::Draining);
+        let is_listed =
+            |e: &&Endpoint| matches!(e.status, EndpointStatus::Ready | EndpointStatus::Draining);
         let listed = self.arena.values().filter(is_listed);
         Listing {
             endpoints: listed.map(|e| e.listed.clone()).collect(),
@@ -355,7 +356,7 @@
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.standing(now).is_none();
-        is_willing && endpoint.standing.is_open() && !self.cordons.holds(&endpoint.listed.zone)
+        is_willing && endpoint.status.is_open() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
     /// The endpoints of a zone that takes work again may have to warm up.
@@ -386,7 +387,7 @@
         if endpoint.listed.revision < listed.revision {
             endpoint.hear_warming(listed.warming, now);
         }
-        endpoint.standing = standing_of(&listed);
+        endpoint.status = listed_status(&listed);
         let born = listed.born.or(endpoint.listed.born);
         endpoint.listed = Listed { born, ..listed };
         None
@@ -397,7 +398,7 @@
         let digest = digest(&id, listed.born);
         let mut endpoint = Endpoint {
             digest,
-            standing: standing_of(&listed),
+            status: listed_status(&listed),
             announced: self.former.take(&id, listed.born),
             listed,
             told_warm_at: Millis(0),
@@ -414,7 +415,10 @@
     fn removed(&mut self, id: &str, revision: Revision, now: Millis) -> Option<EndpointKey> {
         let key = *self.by_id.get(id)?;
         let endpoint = self.arena.get_mut(key)?;
-        let was_removed = matches!(endpoint.standing, Standing::Lapsed(_) | Standing::Displaced);
+        let was_removed = matches!(
+            endpoint.status,
+            EndpointStatus::Lapsed(_) | EndpointStatus::Displaced
+        );
         if endpoint.listed.revision > revision || was_removed {
             return None;
         }
@@ -424,8 +428,10 @@
             _ => None,
         };
         match lapsed {
-            Some(until) if endpoint.standing == Standing::Ready && !endpoint.announced.leaves => {
-                endpoint.standing = Standing::Lapsed(until);
+            Some(until)
+                if endpoint.status == EndpointStatus::Ready && !endpoint.announced.leaves =>
+            {
+                endpoint.status = EndpointStatus::Lapsed(until);
                 None
             }
             _ => {
@@ -445,10 +451,10 @@
     }
 }
 
-const fn standing_of(listed: &Listed) -> Standing {
+const fn listed_status(listed: &Listed) -> EndpointStatus {
     if listed.draining {
-        Standing::Draining
+        EndpointStatus::Draining
     } else {
-        Standing::Ready
+        EndpointStatus::Ready
     }
 }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -9,7 +9,7 @@
 use crate::clock::Millis;
 use crate::direct::channel::Channel;
 use crate::direct::decision::Decision;
-use crate::direct::directory::{Endpoint, EndpointKey, Standing};
+use crate::direct::directory::{Endpoint, EndpointKey, EndpointStatus};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
 use crate::direct::health::{Fault, Record};
 use crate::direct::load::{Footprint, Load};
@@ -238,7 +238,7 @@
         let Some(endpoint) = directory.get(key) else {
             return false;
         };
-        let leaves = endpoint.standing == Standing::Draining || endpoint.announced.leaves;
+        let leaves = endpoint.status == EndpointStatus::Draining || endpoint.announced.leaves;
         !leaves && !endpoint.is_told_warming(now)
     }
 
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -10,7 +10,7 @@
 use crate::direct::decision::Decision;
 use crate::direct::dialect::{Ask, Unreadable};
 use crate::direct::directory::Cordon;
-use crate::direct::directory::{Change, Directory, Listing, Revision, Standing};
+use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
 use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
@@ -211,7 +211,7 @@
         self.open_accounts();
         let directory = self.directory.borrow();
         let entry = directory.key(&endpoint).and_then(|key| directory.get(key));
-        if let Some(Standing::Lapsed(_)) = entry.map(|e| e.standing) {
+        if let Some(EndpointStatus::Lapsed(_)) = entry.map(|e| e.status) {
             standing = "lapsed while the list was away".into();
         }
         self.log.state_change(Decision::EndpointListed {
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -94,7 +94,7 @@
                 "id": e.listed.id,
                 "pool": e.listed.pool,
                 "zone": e.listed.zone,
-                "standing": format!("{:?}", e.standing),
+                "standing": format!("{:?}", e.status),
                 "announced": e.announced.standing(now),
                 "limit_per_s": entry.limit(key).map(Rate::per_s),
             })
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::directory::{Change, Directory, Listed, Standing, LAPSE_GRACE};
+use violetline::direct::directory::{Change, Directory, EndpointStatus, Listed, LAPSE_GRACE};
 
 fn removed(id: &str, revision: u64) -> Change {
     Change::Removed {
@@ -13,9 +13,9 @@
     }
 }
 
-fn standing(directory: &Directory, id: &str) -> Option<Standing> {
+fn status(directory: &Directory, id: &str) -> Option<EndpointStatus> {
     let key = directory.key(id)?;
-    directory.get(key).map(|endpoint| endpoint.standing)
+    directory.get(key).map(|endpoint| endpoint.status)
 }
 
 fn with_one() -> Directory {
@@ -29,7 +29,7 @@
 fn gone_at_once() {
     let mut directory = with_one();
     assert!(directory.apply(removed("a", 2), Millis(9_000)).is_some());
-    assert_eq!(standing(&directory, "a"), None);
+    assert_eq!(status(&directory, "a"), None);
 }
 
 #[test]
@@ -60,7 +60,7 @@
         .is_empty());
     directory.apply(Change::Put(listed("a", 3)), Millis(61_000));
     assert!(directory.expire(Millis(70_000)).is_empty());
-    assert_eq!(standing(&directory, "a"), Some(Standing::Ready));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Ready));
 }
 
 #[test]
@@ -70,7 +70,7 @@
     directory.list_answers(Millis(5_000));
     assert!(directory.apply(removed("a", 2), Millis(5_100)).is_none());
     assert_eq!(directory.expire(Millis(5_000) + LAPSE_GRACE).len(), 1);
-    assert_eq!(standing(&directory, "a"), None);
+    assert_eq!(status(&directory, "a"), None);
 }
 
 #[test]
@@ -94,7 +94,7 @@
     };
     directory.apply(Change::Put(draining), Millis(10));
     directory.apply(Change::Put(listed("a", 4)), Millis(20));
-    assert_eq!(standing(&directory, "a"), Some(Standing::Draining));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Draining));
     assert!(directory.apply(removed("a", 3), Millis(30)).is_none());
 }
 
@@ -104,8 +104,8 @@
     directory.apply(Change::Put(listed("b", 2)), Millis(0));
     let gone = directory.replace(vec![listed("b", 2)], 3, Millis(9_000));
     assert_eq!(gone.len(), 1);
-    assert_eq!(standing(&directory, "a"), None);
-    assert_eq!(standing(&directory, "b"), Some(Standing::Ready));
+    assert_eq!(status(&directory, "a"), None);
+    assert_eq!(status(&directory, "b"), Some(EndpointStatus::Ready));
 }
 
 /// Pages are no snapshot: an entry that was written after the listing began is not missing.
@@ -116,7 +116,7 @@
     assert!(directory
         .replace(vec![listed("a", 1)], 6, Millis(9_000))
         .is_empty());
-    assert_eq!(standing(&directory, "b"), Some(Standing::Ready));
+    assert_eq!(status(&directory, "b"), Some(EndpointStatus::Ready));
 }
 
 /// Engines that had ended started again while the store was away, at the same address and under another id. The entries of
@@ -132,7 +132,7 @@
     assert_eq!(directory.apply(removed("a", 2), Millis(100)), None);
     assert!(directory.takes_work(key, Millis(100)), "bridged");
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
-    assert_eq!(standing(&directory, "a"), Some(Standing::Displaced));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
     assert!(!directory.takes_work(key, Millis(200)));
     directory.list_answers(Millis(300));
     assert_eq!(directory.expire(Millis(300)), [key]);
@@ -144,10 +144,10 @@
     let mut directory = Directory::default();
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
     directory.apply(Change::Put(listed("b", 3)), Millis(0));
-    assert_eq!(standing(&directory, "a"), Some(Standing::Ready));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Ready));
     directory.list_away();
     assert_eq!(directory.apply(removed("a", 4), Millis(100)), None);
-    assert_eq!(standing(&directory, "a"), Some(Standing::Displaced));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
 }
 
 /// An endpoint whose entry lapsed and is written again is ready, whoever was listed at its address meanwhile.
@@ -159,5 +159,5 @@
     directory.apply(removed("a", 2), Millis(100));
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
     directory.apply(Change::Put(listed("a", 4)), Millis(300));
-    assert_eq!(standing(&directory, "a"), Some(Standing::Ready));
+    assert_eq!(status(&directory, "a"), Some(EndpointStatus::Ready));
 }
