--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -68,13 +68,13 @@
 impl Endpoint {
     /// Until when it is taken to warm up, where that takes `time` from its beginning; 0 where nothing ever
     /// said that it does.
-    pub fn warm_at(&self, time: Millis) -> Millis {
+    pub fn warm_until(&self, time: Millis) -> Millis {
         let doubted = self.doubted.map(|at| at + time);
         doubted.map_or(self.told_warm_at, |until| until.max(self.told_warm_at))
     }
 
     /// Whether it warms up by its own entries.
-    pub fn is_told_warming(&self, now: Millis) -> bool {
+    pub fn is_listed_warming(&self, now: Millis) -> bool {
         now < self.told_warm_at
     }
 
@@ -118,12 +118,12 @@
 
 impl Directory {
     /// The list can't be read.
-    pub fn list_away(&mut self) {
+    pub fn list_unavailable(&mut self) {
         self.away = true;
     }
 
     /// The list answers (again).
-    pub fn list_answers(&mut self, now: Millis) {
+    pub fn list_available(&mut self, now: Millis) {
         if !self.away {
             return;
         }
@@ -275,7 +275,7 @@
 
     /// An endpoint announced something of itself, of which a time is believed for `longest` at most; what it had
     /// announced before.
-    pub fn announce(
+    pub fn record_announcement(
         &mut self,
         key: EndpointKey,
         announcement: Announcement,
@@ -294,14 +294,14 @@
     }
 
     /// An endpoint may have begun to warm up without its entry saying so.
-    pub fn doubt(&mut self, key: EndpointKey, now: Millis) {
+    pub fn assume_warm_up(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.arena.get_mut(key) {
             endpoint.doubted = Some(now);
         }
     }
 
     /// Endpoints of a pool that take new work.
-    pub fn of_pool<'a>(
+    pub fn available_in_pool<'a>(
         &'a self,
         pool: &'a str,
         now: Millis,
@@ -311,7 +311,7 @@
     }
 
     /// When the first endpoint of a pool has rested that would take work otherwise; `None` where none rests.
-    pub fn first_rested(&self, pool: &str, now: Millis) -> Option<Millis> {
+    pub fn earliest_backoff_end(&self, pool: &str, now: Millis) -> Option<Millis> {
         let of_pool = self.arena.values().filter(|e| e.listed.pool == pool);
         let resting = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
         let resting = resting.filter(|e| self.is_open(e, e.announced.rests_until));
@@ -330,7 +330,7 @@
     }
 
     /// Endpoints of the smallest pool; 0 where there is none.
-    pub fn smallest_pool(&self) -> usize {
+    pub fn smallest_pool_size(&self) -> usize {
         let mut counts: HashMap<&str, usize> = HashMap::new();
         for endpoint in self.arena.values() {
             *counts.entry(&endpoint.listed.pool).or_default() += 1;
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -129,9 +129,9 @@
     pub fn warm_up_share(&self, endpoint: &Endpoint, warm_up: Option<WarmUp>) -> Option<usize> {
         let warm_up = warm_up?;
         let now = self.clock.now();
-        let warm_at = endpoint.warm_at(warm_up.time);
-        let until = warmup::shared_until(warm_at, self.id, endpoint.digest);
-        if warm_at == Millis(0) || now >= until {
+        let warm_until = endpoint.warm_until(warm_up.time);
+        let until = warmup::shared_until(warm_until, self.id, endpoint.digest);
+        if warm_until == Millis(0) || now >= until {
             return None;
         }
         let settings = self.settings.borrow();
@@ -160,7 +160,7 @@
         let now = self.clock.now();
         if fault == Fault::Contact {
             // It may have started again, and its entry in the list is from before.
-            self.directory.borrow_mut().doubt(key, now);
+            self.directory.borrow_mut().assume_warm_up(key, now);
         }
         let mut set_aside = false;
         self.account(key, |account| set_aside = account.record.failed(now, fault));
@@ -239,7 +239,7 @@
             return false;
         };
         let leaves = endpoint.status == EndpointStatus::Draining || endpoint.announced.leaves;
-        !leaves && !endpoint.is_told_warming(now)
+        !leaves && !endpoint.is_listed_warming(now)
     }
 
     /// The life of an endpoint is over.
@@ -285,7 +285,7 @@
     /// Opens an account for each endpoint that has none.
     pub(super) fn open_accounts(&self) {
         let directory = self.directory.borrow();
-        let smallest = directory.smallest_pool();
+        let smallest = directory.smallest_pool_size();
         self.quarantine.borrow_mut().set_endpoints(smallest);
         let mut accounts = self.accounts.borrow_mut();
         for (key, endpoint) in directory.iter() {
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -15,7 +15,7 @@
         let now = self.clock.now();
         let longest = Millis(self.settings.borrow().bounds.longest_rest_ms);
         let mut directory = self.directory.borrow_mut();
-        let Some(before) = directory.announce(key, announcement, now, longest) else {
+        let Some(before) = directory.record_announcement(key, announcement, now, longest) else {
             return;
         };
         drop(directory);
--- a/src/direct/entry/store.rs
+++ b/src/direct/entry/store.rs
@@ -64,7 +64,7 @@
     /// The store answered a call.
     pub fn store_answered(&self) {
         let now = self.clock.now();
-        self.directory.borrow_mut().list_answers(now);
+        self.directory.borrow_mut().list_available(now);
         let before = self.store_answers.replace(Some(true));
         if before == Some(false) {
             self.watch_again.notify_one();
@@ -170,7 +170,7 @@
 
     /// A call to the store failed.
     pub fn store_failed(&self, err: &CallError) {
-        self.directory.borrow_mut().list_away();
+        self.directory.borrow_mut().list_unavailable();
         if self.store_answers.replace(Some(false)) != Some(false) {
             // Peers may still tell the whole list, for which they are asked while the store is away.
             self.unkept.borrow_mut().clear();
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -77,7 +77,9 @@
     pub(super) fn among(&self, pool: &str, key: EndpointKey) -> Among {
         let now = self.clock.now();
         let directory = self.directory.borrow();
-        let others = directory.of_pool(pool, now).filter(|(k, _)| *k != key);
+        let others = directory
+            .available_in_pool(pool, now)
+            .filter(|(k, _)| *k != key);
         Among {
             pool: digest(pool, None),
             endpoints: others.count() + 1,
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -33,7 +33,7 @@
         let warm_up = self.warm_up();
         let warming_time = warm_up.map_or(Millis(0), |warm_up| warm_up.time);
         let candidates = directory
-            .of_pool(&self.pool, now)
+            .available_in_pool(&self.pool, now)
             .filter(|(key, endpoint)| is_candidate(*key) && self.may_run_at(endpoint, &settings))
             .filter(|(_, endpoint)| self.may_ask_permit(endpoint, now))
             .filter_map(|(key, endpoint)| {
@@ -45,7 +45,7 @@
                     endpoint,
                     load: &account.load,
                     record: &account.record,
-                    warming: endpoint.warm_at(warming_time) > now,
+                    warming: endpoint.warm_until(warming_time) > now,
                     is_limited: self.entry.limit(key).is_some(),
                 })
             });
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -110,10 +110,14 @@
     fn rest_left(&self) -> Option<Millis> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
-        if directory.of_pool(&self.pool, now).next().is_some() {
+        if directory
+            .available_in_pool(&self.pool, now)
+            .next()
+            .is_some()
+        {
             return None;
         }
-        let first = directory.first_rested(&self.pool, now)?;
+        let first = directory.earliest_backoff_end(&self.pool, now)?;
         Some(first - now)
     }
 
@@ -127,7 +131,7 @@
             let has_room = account.is_some_and(|account| account.load.present(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
-        let open = directory.of_pool(&self.pool, now);
+        let open = directory.available_in_pool(&self.pool, now);
         open.filter(|(key, endpoint)| is_free(*key, endpoint.listed.slots))
             .count()
     }
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -83,7 +83,7 @@
         let directory = self.entry.directory();
         let settings = self.entry.settings.borrow();
         let open = directory
-            .of_pool(&self.pool, now)
+            .available_in_pool(&self.pool, now)
             .filter(|(key, endpoint)| {
                 !self.tried.contains(key) && self.may_run_at(endpoint, &settings)
             });
--- a/src/direct/warmup.rs
+++ b/src/direct/warmup.rs
@@ -97,11 +97,11 @@
     (whole as usize + dealt).min(MOST_SENDS)
 }
 
-/// Until when `entry` keeps to its share of an endpoint with this digest, which is warm at `warm_at`: another
+/// Until when `entry` keeps to its share of an endpoint with this digest, which is warm at `warm_until`: another
 /// time for each entry.
-pub fn shared_until(warm_at: Millis, entry: PeerId, digest: u32) -> Millis {
+pub fn shared_until(warm_until: Millis, entry: PeerId, digest: u32) -> Millis {
     let wait = PHASE_IN.0 as f64 * lot(entry, !digest);
-    warm_at + Millis(wait as u64)
+    warm_until + Millis(wait as u64)
 }
 
 /// A number from 0 to 1 that is another one for each entry and endpoint.
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -42,7 +42,7 @@
     let mut directory = Directory::default();
     directory.apply(Change::Put(life(born, 1)), Millis(0));
     let key = directory.key("a").unwrap();
-    directory.announce(key, announcement, Millis(0), LONGEST);
+    directory.record_announcement(key, announcement, Millis(0), LONGEST);
     directory
 }
 
@@ -70,10 +70,10 @@
 #[test]
 fn no_grace() {
     let mut directory = announced(None, LEAVES);
-    directory.list_away();
+    directory.list_unavailable();
     assert!(directory.apply(removed(2), Millis(10)).is_some());
     let mut directory = announced(None, rest(60_000));
-    directory.list_away();
+    directory.list_unavailable();
     assert!(directory.apply(removed(2), Millis(10)).is_none());
     assert!(!takes_work(&directory, 20), "lapsed, and resting");
 }
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -20,7 +20,7 @@
 
 fn with_one() -> Directory {
     let mut directory = Directory::default();
-    directory.list_answers(Millis(0));
+    directory.list_available(Millis(0));
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
     directory
 }
@@ -42,19 +42,19 @@
     directory.apply(Change::Put(draining), Millis(10));
     let key = directory.key("a").unwrap();
     assert!(!directory.takes_work(key, Millis(100)));
-    assert_eq!(directory.of_pool("pool", Millis(100)).count(), 0);
+    assert_eq!(directory.available_in_pool("pool", Millis(100)).count(), 0);
 }
 
 #[test]
 fn lapse_bridged() {
     let mut directory = with_one();
-    directory.list_away();
+    directory.list_unavailable();
     assert!(directory.apply(removed("a", 2), Millis(100)).is_none());
     let key = directory.key("a").unwrap();
     assert!(directory.takes_work(key, Millis(100)));
     // The grace runs from the return, however long the list was away.
     assert!(directory.expire(Millis(60_000)).is_empty());
-    directory.list_answers(Millis(60_000));
+    directory.list_available(Millis(60_000));
     assert!(directory
         .expire(Millis(60_000) + LAPSE_GRACE - Millis(1))
         .is_empty());
@@ -66,8 +66,8 @@
 #[test]
 fn lapse_ends() {
     let mut directory = with_one();
-    directory.list_away();
-    directory.list_answers(Millis(5_000));
+    directory.list_unavailable();
+    directory.list_available(Millis(5_000));
     assert!(directory.apply(removed("a", 2), Millis(5_100)).is_none());
     assert_eq!(directory.expire(Millis(5_000) + LAPSE_GRACE).len(), 1);
     assert_eq!(status(&directory, "a"), None);
@@ -81,7 +81,7 @@
         ..listed("a", 2)
     };
     directory.apply(Change::Put(draining), Millis(10));
-    directory.list_away();
+    directory.list_unavailable();
     assert!(directory.apply(removed("a", 3), Millis(20)).is_some());
 }
 
@@ -125,16 +125,16 @@
 #[test]
 fn address_taken() {
     let mut directory = Directory::default();
-    directory.list_answers(Millis(0));
+    directory.list_available(Millis(0));
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
     let key = directory.key("a").unwrap();
-    directory.list_away();
+    directory.list_unavailable();
     assert_eq!(directory.apply(removed("a", 2), Millis(100)), None);
     assert!(directory.takes_work(key, Millis(100)), "bridged");
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
     assert!(!directory.takes_work(key, Millis(200)));
-    directory.list_answers(Millis(300));
+    directory.list_available(Millis(300));
     assert_eq!(directory.expire(Millis(300)), [key]);
 }
 
@@ -145,7 +145,7 @@
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
     directory.apply(Change::Put(listed("b", 3)), Millis(0));
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Ready));
-    directory.list_away();
+    directory.list_unavailable();
     assert_eq!(directory.apply(removed("a", 4), Millis(100)), None);
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
 }
@@ -155,7 +155,7 @@
 fn written_again() {
     let mut directory = Directory::default();
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
-    directory.list_away();
+    directory.list_unavailable();
     directory.apply(removed("a", 2), Millis(100));
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
     directory.apply(Change::Put(listed("a", 4)), Millis(300));
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -40,7 +40,7 @@
         "checked when a request is sent"
     );
     assert!(takes_work(&directory, "b"));
-    assert_eq!(directory.of_pool("pool", Millis(100)).count(), 1);
+    assert_eq!(directory.available_in_pool("pool", Millis(100)).count(), 1);
     directory.apply(Change::Uncordoned(cordon(4)), Millis(20));
     assert!(takes_work(&directory, "a"));
 }
@@ -61,11 +61,11 @@
     let key = directory.key("a").unwrap();
     directory.apply(Change::Cordoned(cordon(3)), Millis(1_000));
     directory.apply(Change::Uncordoned(cordon(4)), Millis(9_000));
-    let warm_at = |directory: &Directory| directory.get(key).unwrap().warm_at(Millis(3_000));
-    assert_eq!(warm_at(&directory), Millis(12_000));
+    let warm_until = |directory: &Directory| directory.get(key).unwrap().warm_until(Millis(3_000));
+    assert_eq!(warm_until(&directory), Millis(12_000));
     directory.apply(Change::Put(listed("a", 5)), Millis(9_500));
     assert_eq!(
-        warm_at(&directory),
+        warm_until(&directory),
         Millis(9_500),
         "its newer entry says so"
     );
