--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -2,7 +2,9 @@
 
 use divan::{black_box, Bencher};
 use violetline::clock::Millis;
-use violetline::direct::catalog::{CallerLimits, Catalog, Repeat, Route, Shape, Share, Team};
+use violetline::direct::catalog::{
+    CallerLimits, Catalog, PoolShare, RepeatPolicy, ResponseKind, Route, Team,
+};
 use violetline::direct::patch::Patch;
 use violetline::direct::versions;
 
@@ -18,15 +20,15 @@
         name: format!("r-{i}"),
         host: "host.example".into(),
         prefix: format!("/p{i:08x}/"),
-        repeat: Repeat::Once,
-        shape: Shape::Events {
+        repeat: RepeatPolicy::Once,
+        shape: ResponseKind::Events {
             resumable: false,
             pause: Millis(250),
         },
         timeout: Millis(1_000),
         target: Millis(100),
         priority: 2,
-        shares: vec![Share {
+        shares: vec![PoolShare {
             pool: "pool".into(),
             weight: 1,
         }],
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -2,7 +2,7 @@
 
 use divan::{black_box, Bencher};
 use violetline::clock::Millis;
-use violetline::direct::catalog::{EngineShape, MoveShape};
+use violetline::direct::catalog::{EngineCapacity, TransferSpec};
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, Listed};
@@ -54,10 +54,10 @@
         output_tokens: 50,
         target: Millis(600),
         zone: "zone",
-        engine: Some(EngineShape {
+        engine: Some(EngineCapacity {
             slots: 64,
             memory_tokens: 330_000,
-            moves: Some(MoveShape {
+            moves: Some(TransferSpec {
                 token_bytes: 327_680,
                 link_mbps: 740_000,
             }),
--- a/src/direct/catalog.rs
+++ b/src/direct/catalog.rs
@@ -16,7 +16,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// At most one run; an unknown outcome must be told as such.
     Once,
     /// Another run is harmless.
@@ -25,7 +25,7 @@
 
 /// What an answer looks like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum ResponseKind {
     /// One body, delivered whole.
     Whole,
     /// A series of events, delivered as they arrive.
@@ -47,9 +47,9 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether requests may run more than once.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// What answers look like.
-    pub shape: Shape,
+    pub shape: ResponseKind,
     /// Longest time that a request is held.
     pub timeout: Millis,
     /// Time within which an answer (its first event) is in time.
@@ -57,7 +57,7 @@
     /// Urgency; 0 is the highest.
     pub priority: u8,
     /// Pools that take the requests, with their weights.
-    pub shares: Vec<Share>,
+    pub shares: Vec<PoolShare>,
     /// Most endpoints to which one request may be sent.
     pub max_attempts: u32,
     /// Whether requests need no key.
@@ -70,7 +70,7 @@
     /// The pause that its streams allow; `None` where answers are whole or nothing is told.
     pub fn pause(&self) -> Option<Millis> {
         match self.shape {
-            Shape::Events { pause, .. } if pause > Millis(0) => Some(pause),
+            ResponseKind::Events { pause, .. } if pause > Millis(0) => Some(pause),
             _ => None,
         }
     }
@@ -78,7 +78,7 @@
 
 /// A pool's part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct PoolShare {
     /// Name of the pool.
     pub pool: String,
     /// Weight among the route's shares.
@@ -93,34 +93,34 @@
     /// Connections that one endpoint accepts from all entries together.
     pub max_connections: u32,
     /// What a model engine of this pool can hold; `None` for plain services.
-    pub engine: Option<EngineShape>,
+    pub engine: Option<EngineCapacity>,
     /// How its endpoints warm up; `None` where that is not told.
     pub warm_up: Option<WarmUp>,
 }
 
 /// Size of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineShape {
+pub struct EngineCapacity {
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that its memory holds.
     pub memory_tokens: u64,
     /// How memory moves between engines; `None` where it can't.
-    pub moves: Option<MoveShape>,
+    pub moves: Option<TransferSpec>,
 }
 
 /// How the memory of prompts moves between engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MoveShape {
+pub struct TransferSpec {
     /// Bytes of memory of one token.
     pub token_bytes: u64,
     /// Bandwidth of an engine's link, in Mbit/s.
     pub link_mbps: u64,
 }
 
-impl MoveShape {
+impl TransferSpec {
     /// Time on the link, in ms.
-    pub fn ms(&self, tokens: u64) -> f64 {
+    pub fn transfer_ms(&self, tokens: u64) -> f64 {
         let bits = tokens as f64 * self.token_bytes as f64 * 8.0;
         bits / (self.link_mbps.max(1) as f64 * 1_000.0)
     }
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::clock::Millis;
-use crate::direct::catalog::EngineShape;
+use crate::direct::catalog::EngineCapacity;
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::health::Record;
 use crate::direct::load::{Load, Work};
@@ -25,7 +25,7 @@
     /// Availability zone of this entry.
     pub zone: &'a str,
     /// Size of an engine of the pool; `None` for plain services.
-    pub engine: Option<EngineShape>,
+    pub engine: Option<EngineCapacity>,
     /// How much the answer suffers when prompts are read beside it, in hundredths: 100 for the
     /// stream with the tightest pauses.
     pub delicate: u32,
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -5,7 +5,7 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::catalog::Shape;
+use crate::direct::catalog::ResponseKind;
 use crate::direct::channel::Reply;
 use crate::direct::choose::Choice;
 use crate::direct::decision::RequestOutcome;
@@ -61,7 +61,7 @@
             return self.failed(key, Fault::Answer, why);
         }
         let relaying = async {
-            if !status.is_success() || self.route().shape == Shape::Whole {
+            if !status.is_success() || self.route().shape == ResponseKind::Whole {
                 self.relay_whole(answerer, answered, &verdict).await
             } else {
                 self.relay_events(answerer, answered, &verdict).await
--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -7,7 +7,7 @@
 
 use super::Job;
 use crate::clock::Millis;
-use crate::direct::catalog::Shape;
+use crate::direct::catalog::ResponseKind;
 use crate::direct::channel::{Channel, Failure, Reply};
 use crate::direct::choose::Choice;
 
@@ -34,7 +34,7 @@
     fn is_worth_copy(&self) -> bool {
         let prompt: u64 = self.ask.parts.iter().map(|part| part.tokens).sum();
         let answer = self.ask.output_tokens;
-        let is_stream = matches!(self.route().shape, Shape::Events { .. });
+        let is_stream = matches!(self.route().shape, ResponseKind::Events { .. });
         is_stream && prompt > 0 && prompt + answer <= COPY_RATIO * answer
     }
 
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -19,7 +19,7 @@
 use self::permit::Permit;
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::catalog::{Catalog, Repeat, Route, Shape};
+use crate::direct::catalog::{Catalog, RepeatPolicy, ResponseKind, Route};
 use crate::direct::decision::{RefusalReason, RequestOutcome};
 use crate::direct::dialect::Ask;
 use crate::direct::directory::EndpointKey;
@@ -185,16 +185,16 @@
     fn may_repeat(&self) -> bool {
         let position = self.position.get();
         match self.route().repeat {
-            Repeat::Once => false,
-            Repeat::Harmless if !position.begun => true,
-            Repeat::Harmless => self.is_resumable() && position.last_event.is_some(),
+            RepeatPolicy::Once => false,
+            RepeatPolicy::Harmless if !position.begun => true,
+            RepeatPolicy::Harmless => self.is_resumable() && position.last_event.is_some(),
         }
     }
 
     fn is_resumable(&self) -> bool {
         matches!(
             self.route().shape,
-            Shape::Events {
+            ResponseKind::Events {
                 resumable: true,
                 ..
             }
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -9,7 +9,7 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::catalog::Share;
+use crate::direct::catalog::PoolShare;
 use crate::direct::channel::{Channel, Failure, Reply};
 use crate::direct::choose::Choice;
 use crate::direct::dialect::Order;
@@ -82,7 +82,7 @@
         let Some(catalog) = self.entry.catalog() else {
             return false;
         };
-        let sends_here = |share: &Share| share.pool == self.pool;
+        let sends_here = |share: &PoolShare| share.pool == self.pool;
         let route = &catalog.routes[allowed.route.0];
         let same = route.shares.iter().any(sends_here) && route.shape == self.route().shape;
         if same {
--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -45,7 +45,7 @@
     pub fn move_ms(&self, demand: &Demand<'_>) -> f64 {
         let shape = demand.engine.and_then(|engine| engine.moves);
         match (shape, self.moved) {
-            (Some(shape), 1..) => SETUP_MS + shape.ms(self.moved),
+            (Some(shape), 1..) => SETUP_MS + shape.transfer_ms(self.moved),
             _ => 0.0,
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 
 use violetline::clock::{Clock, Millis};
-use violetline::direct::catalog::{CallerLimits, Catalog, Repeat, Route, Shape, Share, Team};
+use violetline::direct::catalog::{
+    CallerLimits, Catalog, PoolShare, RepeatPolicy, ResponseKind, Route, Team,
+};
 use violetline::direct::decision::DecisionLog;
 use violetline::direct::directory::Listed;
 use violetline::direct::entry::Entry;
@@ -19,12 +21,12 @@
         name: name.into(),
         host: "host.example".into(),
         prefix: prefix.into(),
-        repeat: Repeat::Once,
-        shape: Shape::Whole,
+        repeat: RepeatPolicy::Once,
+        shape: ResponseKind::Whole,
         timeout: Millis(1_000),
         target: Millis(100),
         priority: 2,
-        shares: vec![Share {
+        shares: vec![PoolShare {
             pool: "pool".into(),
             weight: 1,
         }],
@@ -37,7 +39,7 @@
 /// A route with streams of events.
 pub fn events_route(name: &str, prefix: &str, pause: Millis) -> Route {
     Route {
-        shape: Shape::Events {
+        shape: ResponseKind::Events {
             resumable: false,
             pause,
         },
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::catalog::EngineShape;
+use violetline::direct::catalog::EngineCapacity;
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand, Seen};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
@@ -15,7 +15,7 @@
 use violetline::direct::room::RoomFor;
 
 const NOW: Millis = Millis(10_000);
-const ENGINE: EngineShape = EngineShape {
+const ENGINE: EngineCapacity = EngineCapacity {
     slots: 64,
     memory_tokens: 290_000,
     moves: None,
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::catalog::{EngineShape, MoveShape};
+use violetline::direct::catalog::{EngineCapacity, TransferSpec};
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
@@ -16,7 +16,7 @@
 
 const NOW: Millis = Millis(10_000);
 /// Bytes of memory of a token, and a link between engines in Mbit/s: 6,300 tokens move in 22 ms.
-const MOVES: MoveShape = MoveShape {
+const MOVES: TransferSpec = TransferSpec {
     token_bytes: 327_680,
     link_mbps: 740_000,
 };
@@ -32,7 +32,7 @@
     loads: [Load; 3],
     records: [Record; 3],
     prefixes: PrefixMap,
-    moves: Option<MoveShape>,
+    moves: Option<TransferSpec>,
     room: RoomFor,
     draw: u64,
 }
@@ -69,7 +69,7 @@
             output_tokens: 100,
             target: Millis(600),
             zone: "hall-a",
-            engine: Some(EngineShape {
+            engine: Some(EngineCapacity {
                 slots: 64,
                 memory_tokens: 290_000,
                 moves: self.moves,
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
 use violetline::direct::admission::Outlook;
-use violetline::direct::catalog::{EngineShape, MoveShape};
+use violetline::direct::catalog::{EngineCapacity, TransferSpec};
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
@@ -29,10 +29,10 @@
 const TELL: u64 = 300;
 /// What is left for reading beside the tokens of streams.
 const READ_PER_MS: f64 = 32.0;
-const SHAPE: EngineShape = EngineShape {
+const SHAPE: EngineCapacity = EngineCapacity {
     slots: 64,
     memory_tokens: 258_267,
-    moves: Some(MoveShape {
+    moves: Some(TransferSpec {
         token_bytes: 18_432,
         link_mbps: 550_000,
     }),
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use serde_json::json;
 use violetline::clock::Millis;
-use violetline::direct::catalog::{Catalog, Repeat, Shape};
+use violetline::direct::catalog::{Catalog, RepeatPolicy, ResponseKind};
 use violetline::direct::dialect::{Ask, Dialect, Order, Refusal, Unusable, Watched, Written};
 use violetline::direct::directory::Change;
 use violetline::direct::prefix::Part;
@@ -333,17 +333,17 @@
     };
     assert_eq!(split.host, "ficu95.example");
     assert_eq!(split.shares.len(), 2);
-    assert_eq!(split.repeat, Repeat::Once);
-    assert_eq!(resumable.repeat, Repeat::Harmless);
+    assert_eq!(split.repeat, RepeatPolicy::Once);
+    assert_eq!(resumable.repeat, RepeatPolicy::Harmless);
     let pause = Millis(400);
-    let shape = Shape::Events {
+    let shape = ResponseKind::Events {
         resumable: true,
         pause,
     };
     assert_eq!(resumable.shape, shape);
     assert_eq!(
         (plain.repeat, plain.shape),
-        (Repeat::Harmless, Shape::Whole)
+        (RepeatPolicy::Harmless, ResponseKind::Whole)
     );
     assert!(plain.public);
     assert_eq!(
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::catalog::EngineShape;
+use violetline::direct::catalog::EngineCapacity;
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
@@ -16,7 +16,7 @@
 use violetline::direct::turnover::{Recent, Turnover};
 
 const NOW: Millis = Millis(10_000);
-const ENGINE: EngineShape = EngineShape {
+const ENGINE: EngineCapacity = EngineCapacity {
     slots: 8,
     memory_tokens: 290_000,
     moves: None,
