--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -55,7 +55,7 @@
     let catalog = catalog(1, routes);
     bencher.bench_local(|| {
         let key = catalog.route("host.example", black_box("/p00000031/a/b"));
-        (key, catalog.tightest_pause("pool"))
+        (key, catalog.shortest_pause("pool"))
     });
 }
 
--- a/src/direct/catalog.rs
+++ b/src/direct/catalog.rs
@@ -207,7 +207,7 @@
 
 impl From<CatalogParts> for Catalog {
     fn from(parts: CatalogParts) -> Self {
-        Self::of(
+        Self::with_shared_routes(
             parts.version,
             parts.routes,
             parts.pools,
@@ -259,11 +259,11 @@
         limits: CallerLimits,
     ) -> Self {
         let routes = routes.into_iter().map(Rc::new).collect();
-        Self::of(version, routes, pools, teams, limits)
+        Self::with_shared_routes(version, routes, pools, teams, limits)
     }
 
     /// The same of routes that other versions may hold as well.
-    pub fn of(
+    pub fn with_shared_routes(
         version: u64,
         routes: Vec<Rc<Route>>,
         pools: Vec<Pool>,
@@ -325,26 +325,26 @@
 
     /// How much a route's answers suffer from prompts read beside them, in hundredths: the square
     /// of the tightest pause among the pool's streams by the route's own.
-    pub fn delicacy(&self, route: &Route, pool: &str) -> u32 {
+    pub fn pause_sensitivity(&self, route: &Route, pool: &str) -> u32 {
         let Some(own) = route.pause() else {
             return 0;
         };
-        let ratio = self.tightest_pause(pool).0 as f64 / own.0 as f64;
+        let ratio = self.shortest_pause(pool).0 as f64 / own.0 as f64;
         (ratio * ratio * f64::from(WHOLE)) as u32
     }
 
     /// The tightest pause among a pool's streams; 0 where there are none.
-    pub fn tightest_pause(&self, pool: &str) -> Millis {
+    pub fn shortest_pause(&self, pool: &str) -> Millis {
         self.tightest.get(pool).copied().unwrap_or_default().pause
     }
 
     /// The tightest target among a pool's routes; 0 where none is told.
-    pub fn tightest_target(&self, pool: &str) -> Millis {
+    pub fn shortest_target(&self, pool: &str) -> Millis {
         self.tightest.get(pool).copied().unwrap_or_default().target
     }
 
     /// Longest time that requests to a pool have which are less urgent than a band; 0 where there are none.
-    pub fn less_urgent_time(&self, pool: &str, band: usize) -> Millis {
+    pub fn longest_less_urgent_timeout(&self, pool: &str, band: usize) -> Millis {
         let longest = self.tightest.get(pool).copied().unwrap_or_default().longest;
         let less_urgent = longest.into_iter().skip(band + 1);
         less_urgent.max().unwrap_or_default()
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -76,9 +76,9 @@
             band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: self.catalog.tightest_target(&self.pool),
+            tightest: self.catalog.shortest_target(&self.pool),
             left: self.end - self.entry.clock.now(),
-            less_urgent: self.catalog.less_urgent_time(&self.pool, band),
+            less_urgent: self.catalog.longest_less_urgent_timeout(&self.pool, band),
             has_more_urgent: self.has_more_urgent(self.entry.clock.now()),
         }
     }
@@ -129,8 +129,8 @@
             target: self.route().target,
             zone,
             engine,
-            delicate: self.catalog.delicacy(self.route(), &self.pool),
-            pause: self.catalog.tightest_pause(&self.pool),
+            delicate: self.catalog.pause_sensitivity(self.route(), &self.pool),
+            pause: self.catalog.shortest_pause(&self.pool),
             blind: self.entry.peers.borrow().blind(now),
             room: self.room(now),
             draw: rand::random(),
--- a/src/direct/patch.rs
+++ b/src/direct/patch.rs
@@ -134,6 +134,8 @@
             limits = patch.limits;
             version = patch.version;
         }
-        Some(Catalog::of(version, routes, pools, teams, limits))
+        Some(Catalog::with_shared_routes(
+            version, routes, pools, teams, limits,
+        ))
     }
 }
--- a/tests/direct_catalog.rs
+++ b/tests/direct_catalog.rs
@@ -35,10 +35,10 @@
     let loose = events_route("loose", "/l/", Millis(1_000));
     let whole = route("whole", "/w/");
     let catalog = catalog(1, vec![tight, loose, whole]);
-    let delicacy = |i: usize| catalog.delicacy(&catalog.routes[i], "pool");
-    assert_eq!(delicacy(0), 100);
-    assert_eq!(delicacy(1), 6);
-    assert_eq!(delicacy(2), 0);
-    assert_eq!(catalog.tightest_pause("pool"), Millis(250));
-    assert_eq!(catalog.tightest_pause("other"), Millis(0));
+    let pause_sensitivity = |i: usize| catalog.pause_sensitivity(&catalog.routes[i], "pool");
+    assert_eq!(pause_sensitivity(0), 100);
+    assert_eq!(pause_sensitivity(1), 6);
+    assert_eq!(pause_sensitivity(2), 0);
+    assert_eq!(catalog.shortest_pause("pool"), Millis(250));
+    assert_eq!(catalog.shortest_pause("other"), Millis(0));
 }
