--- a/src/direct/answerer.rs
+++ b/src/direct/answerer.rs
@@ -50,7 +50,12 @@
     }
 
     /// Writes a whole answer; `close` tells the caller that the connection ends with it.
-    pub async fn whole(&mut self, head: ResponseHead, body: Bytes, close: bool) -> io::Result<()> {
+    pub async fn send_response(
+        &mut self,
+        head: ResponseHead,
+        body: Bytes,
+        close: bool,
+    ) -> io::Result<()> {
         let size = BodySize::Sized(body.len() as u64);
         self.put_head(head, size, close)?;
         if !body.is_empty() {
@@ -60,13 +65,18 @@
     }
 
     /// Begins an answer in pieces with the first one.
-    pub async fn begin(&mut self, head: ResponseHead, first: Bytes, close: bool) -> io::Result<()> {
+    pub async fn start_stream(
+        &mut self,
+        head: ResponseHead,
+        first: Bytes,
+        close: bool,
+    ) -> io::Result<()> {
         self.put_head(head, BodySize::Stream, close)?;
-        self.piece(first).await
+        self.send_chunk(first).await
     }
 
     /// Writes a piece of an answer that was begun.
-    pub async fn piece(&mut self, bytes: Bytes) -> io::Result<()> {
+    pub async fn send_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         if !bytes.is_empty() {
             self.put_chunk(Some(bytes))?;
         }
@@ -74,20 +84,20 @@
     }
 
     /// Ends an answer that was begun; without this it looks broken off.
-    pub async fn end(&mut self) -> io::Result<()> {
+    pub async fn finish_stream(&mut self) -> io::Result<()> {
         self.put_chunk(None)?;
         self.flush().await
     }
 
     /// Whether the connection is kept after the answer.
-    pub fn is_kept(&self) -> bool {
+    pub fn keeps_connection(&self) -> bool {
         self.codec.keep_alive()
     }
 
     /// Tells a caller that waits for it to send its body (RFC 9110, 10.1.1).
-    pub async fn go_ahead(&mut self) -> io::Result<()> {
-        let go_ahead = b"HTTP/1.1 100 Continue\r\n\r\n";
-        self.writer.write_all(go_ahead).await
+    pub async fn send_continue(&mut self) -> io::Result<()> {
+        let send_continue = b"HTTP/1.1 100 Continue\r\n\r\n";
+        self.writer.write_all(send_continue).await
     }
 
     /// Tells the caller that nothing more will be written.
--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -46,7 +46,11 @@
             Ok(incoming) => serve_one(&entry, &incoming, &mut intake, &mut answerer).await,
             Err(NoRequest::Refused(refusal)) => {
                 let head = entry.dialect.refusal(refusal, None);
-                if answerer.whole(head, Bytes::new(), true).await.is_ok() {
+                if answerer
+                    .send_response(head, Bytes::new(), true)
+                    .await
+                    .is_ok()
+                {
                     intake.let_caller_read(&mut answerer).await;
                 }
                 false
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -74,7 +74,10 @@
             .await
             .map_err(|_| NoRequest::Refused(Refusal::TooSlow))??;
         if head.expect() && self.buf.is_empty() {
-            answerer.go_ahead().await.map_err(|_| NoRequest::Closed)?;
+            answerer
+                .send_continue()
+                .await
+                .map_err(|_| NoRequest::Closed)?;
         }
         let body = self.body(answerer, limits).await?;
         Ok(Incoming { head, body, at })
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -172,11 +172,15 @@
         let head = self.entry.dialect.answer(&answered.reply.head);
         self.keep(key, answered.reply, verdict);
         let how = self.account_whole(key, status);
-        if answerer.whole(head, body, self.is_closing()).await.is_err() {
+        if answerer
+            .send_response(head, body, self.is_closing())
+            .await
+            .is_err()
+        {
             return Attempt::CallerGone;
         }
         self.log_ended(how, status.as_u16());
-        Attempt::Over(answerer.is_kept())
+        Attempt::Over(answerer.keeps_connection())
     }
 
     /// Accounts a whole answer to its endpoint.
@@ -224,7 +228,7 @@
                 self.keep(key, answered.reply, verdict);
                 self.entry.endpoint_served(key);
                 self.log_ended(RequestOutcome::Served, status);
-                Attempt::Over(answerer.is_kept())
+                Attempt::Over(answerer.keeps_connection())
             }
             Err(Broken::Caller) => Attempt::CallerGone,
             Err(Broken::Endpoint) => {
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -39,8 +39,8 @@
 ) -> bool {
     let head = entry.dialect.refusal(refusal, ask.map(|ask| &ask.id));
     let close = entry.life() != Life::Serving;
-    let written = answerer.whole(head, Bytes::new(), close).await;
-    written.is_ok() && answerer.is_kept()
+    let written = answerer.send_response(head, Bytes::new(), close).await;
+    written.is_ok() && answerer.keeps_connection()
 }
 
 /// What is told of a refused request that was allowed.
--- a/src/direct/relay.rs
+++ b/src/direct/relay.rs
@@ -119,9 +119,9 @@
         }
         if !piece.is_empty() || (is_last && !at.begun) {
             let written = if at.begun {
-                answerer.piece(piece).await
+                answerer.send_chunk(piece).await
             } else {
-                answerer.begin(begin(), piece, close).await
+                answerer.start_stream(begin(), piece, close).await
             };
             written.map_err(|_| Broken::Caller)?;
             left();
@@ -130,7 +130,7 @@
             position.set(at);
         }
         if is_last {
-            return answerer.end().await.map_err(|_| Broken::Caller);
+            return answerer.finish_stream().await.map_err(|_| Broken::Caller);
         }
     }
 }
