--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -17,11 +17,11 @@
 
 /// A caller's request, as far as decisions need it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct ParsedRequest {
     /// The caller's id of this request; passed on byte for byte.
     pub id: HeaderValue,
     /// How long the caller waits, counted from when it sent the request.
-    pub patience: Option<Millis>,
+    pub caller_timeout: Option<Millis>,
     /// The key that it presents.
     pub key: Option<String>,
     /// Host that it names, in lower case, without a port.
@@ -38,7 +38,7 @@
 
 /// What an order to an endpoint adds to a caller's request.
 #[derive(Debug, Clone, Copy)]
-pub struct Order<'a> {
+pub struct EndpointRequest<'a> {
     /// Identity of the endpoint that is meant.
     pub endpoint: &'a str,
     /// Time left for the work.
@@ -59,7 +59,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
+pub struct ResponseInfo {
     /// Whether it answers the request at hand; others are late answers to earlier ones.
     pub is_own: bool,
     /// Whether the endpoint says that it did not run the request.
@@ -132,7 +132,7 @@
 
 /// A document that was written or removed.
 #[derive(Debug, Clone)]
-pub enum Written {
+pub enum StoreUpdate {
     /// A version of the configuration.
     Catalog(Box<Catalog>),
     /// A change of the list of endpoints, or of the cordons.
@@ -143,7 +143,7 @@
 
 /// What a watch is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum WatchScope {
     /// The configuration, the list of endpoints and the cordons.
     All,
     /// The list of endpoints alone.
@@ -152,23 +152,23 @@
 
 /// What a watch brought.
 #[derive(Debug, Clone)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes up to a revision; none when the wait was over.
-    Changes(Vec<Written>, Revision),
+    Changes(Vec<StoreUpdate>, Revision),
     /// The history since the asked revision is gone; everything must be read anew.
     HistoryGone,
 }
 
 /// An answer of the store that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unusable {
+pub enum InvalidResponse {
     /// Another status than the ones expected.
     Status(u16),
     /// A body that does not decode; where and why.
     Body(String),
 }
 
-impl std::fmt::Display for Unusable {
+impl std::fmt::Display for InvalidResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Status(status) => write!(f, "status {status}"),
@@ -177,18 +177,22 @@
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for InvalidResponse {}
 
 /// One set of wire formats.
 pub trait Dialect: Debug {
     /// Path under which the balancer asks whether this entry takes connections.
     fn readiness_path(&self) -> &str;
     /// Reads a caller's request.
-    fn ask(&self, head: &RequestHead) -> Result<Ask, Refusal>;
+    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, Refusal>;
     /// Writes the head of the request for an endpoint; the body stays as it is.
-    fn order(&self, head: &RequestHead, order: &Order<'_>) -> RequestHead;
+    fn endpoint_request(
+        &self,
+        head: &RequestHead,
+        endpoint_request: &EndpointRequest<'_>,
+    ) -> RequestHead;
     /// Reads the head of an endpoint's answer to `id`.
-    fn verdict(&self, head: &ResponseHead, id: &HeaderValue) -> Verdict;
+    fn response_info(&self, head: &ResponseHead, id: &HeaderValue) -> ResponseInfo;
     /// Writes the head for the caller from that of the endpoint.
     fn answer(&self, head: &ResponseHead) -> ResponseHead;
     /// Writes the head of an answer of our own.
@@ -197,17 +201,21 @@
     /// Asks the store for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
     /// Reads that answer; `None` while there is no configuration.
-    fn catalog(&self, status: StatusCode, body: &[u8]) -> Result<Option<Box<Catalog>>, Unusable>;
+    fn catalog(
+        &self,
+        status: StatusCode,
+        body: &[u8],
+    ) -> Result<Option<Box<Catalog>>, InvalidResponse>;
     /// Asks for a page of the list of endpoints and of the cordons.
     fn page_query(&self, from: Option<&str>) -> RequestHead;
     /// Reads a page.
-    fn page(&self, status: StatusCode, body: &[u8]) -> Result<Page, Unusable>;
+    fn page(&self, status: StatusCode, body: &[u8]) -> Result<Page, InvalidResponse>;
     /// Asks for changes after a revision, and to wait for one.
-    fn watch_query(&self, scope: Scope, since: Revision, wait: Millis) -> RequestHead;
+    fn watch_query(&self, scope: WatchScope, since: Revision, wait: Millis) -> RequestHead;
     /// Reads the changes.
-    fn watched(&self, status: StatusCode, body: &[u8]) -> Result<Watched, Unusable>;
+    fn watched(&self, status: StatusCode, body: &[u8]) -> Result<WatchResult, InvalidResponse>;
     /// Asks for the store's revision and the cordons, with an answer that is never stale.
     fn snapshot_query(&self) -> RequestHead;
     /// Reads them.
-    fn snapshot(&self, status: StatusCode, body: &[u8]) -> Result<Snapshot, Unusable>;
+    fn snapshot(&self, status: StatusCode, body: &[u8]) -> Result<Snapshot, InvalidResponse>;
 }
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -8,7 +8,7 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::changes::PassedOn;
 use crate::direct::decision::Decision;
-use crate::direct::dialect::{Ask, Unreadable};
+use crate::direct::dialect::{ParsedRequest, Unreadable};
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
@@ -302,7 +302,7 @@
     }
 
     /// Whether the configuration allows a request now.
-    pub fn allow(&self, ask: &Ask) -> Result<Allowed, Denied> {
+    pub fn allow(&self, ask: &ParsedRequest) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
         let knowledge = Knowledge {
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -20,7 +20,7 @@
     answerer: &mut Answerer,
     progress: &RefCell<Progress>,
 ) -> bool {
-    let ask = match entry.dialect.ask(&incoming.head) {
+    let ask = match entry.dialect.parse_request(&incoming.head) {
         Ok(ask) => ask,
         Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
     };
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -9,7 +9,7 @@
 use crate::direct::channel::Reply;
 use crate::direct::choose::Choice;
 use crate::direct::decision::RequestOutcome;
-use crate::direct::dialect::Verdict;
+use crate::direct::dialect::ResponseInfo;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
 use crate::direct::entry::{Life, Placed};
@@ -38,33 +38,33 @@
     ) -> Attempt {
         let key = answered.choice.key;
         let now = self.entry.clock.now();
-        let verdict = self
+        let response_info = self
             .entry
             .dialect
-            .verdict(&answered.reply.head, &self.ask.id);
-        self.heard(key, &verdict, now);
-        let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
+            .response_info(&answered.reply.head, &self.ask.id);
+        self.heard(key, &response_info, now);
+        let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
         self.entry.endpoint_announced(key, announcement, id);
         self.entry
             .endpoint_limited(key, announcement.limit, answered.sent_at, id);
-        if verdict.misdirected {
+        if response_info.misdirected {
             answered.placed.undecided();
             return self.misdirected(key);
         }
-        if verdict.not_run {
+        if response_info.not_run {
             answered.placed.undecided();
-            return self.not_run(key, answered.reply, &verdict).await;
+            return self.not_run(key, answered.reply, &response_info).await;
         }
         let status = answered.reply.head.status;
-        if let Some(why) = self.fault(status, &verdict) {
+        if let Some(why) = self.fault(status, &response_info) {
             answered.placed.undecided();
             return self.failed(key, Fault::Answer, why);
         }
         let relaying = async {
             if !status.is_success() || self.route().shape == ResponseKind::Whole {
-                self.relay_whole(answerer, answered, &verdict).await
+                self.relay_whole(answerer, answered, &response_info).await
             } else {
-                self.relay_events(answerer, answered, &verdict).await
+                self.relay_events(answerer, answered, &response_info).await
             }
         };
         let ended = self
@@ -76,10 +76,10 @@
     }
 
     /// Takes note of what the endpoint tells of itself.
-    fn heard(&self, key: EndpointKey, verdict: &Verdict, now: Millis) {
+    fn heard(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
         self.entry.account(key, |account| {
             account.hear(now);
-            if let Some(report) = verdict.report {
+            if let Some(report) = response_info.report {
                 account.load.reported(report, now);
             }
         });
@@ -96,24 +96,29 @@
     }
 
     /// Why an answer does not count; `None` when it is one for the caller.
-    fn fault(&self, status: StatusCode, verdict: &Verdict) -> Option<&'static str> {
+    fn fault(&self, status: StatusCode, response_info: &ResponseInfo) -> Option<&'static str> {
         if status.is_success() {
-            return (!verdict.sealed).then_some("success without the endpoint's seal");
+            return (!response_info.sealed).then_some("success without the endpoint's seal");
         }
         if self.may_repeat() && status.is_server_error() && self.has_attempts() {
             return Some("the endpoint's own error");
         }
-        (!verdict.sealed).then_some("an error without the endpoint's seal")
+        (!response_info.sealed).then_some("an error without the endpoint's seal")
     }
 
     /// The endpoint says that it did not run the request.
-    async fn not_run(&self, key: EndpointKey, mut reply: Reply, verdict: &Verdict) -> Attempt {
+    async fn not_run(
+        &self,
+        key: EndpointKey,
+        mut reply: Reply,
+        response_info: &ResponseInfo,
+    ) -> Attempt {
         let status = reply.head.status;
         // The body is of no interest, but the connection can be kept once it has been read.
         if relay::read_body(&mut reply).await.is_ok() {
-            self.keep(key, reply, verdict);
+            self.keep(key, reply, response_info);
         }
-        if verdict.announcement.rest.is_none() {
+        if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
                 .account(key, |account| account.load.turned_away(now));
@@ -156,7 +161,7 @@
         &self,
         answerer: &mut Answerer,
         mut answered: Answered<'_>,
-        verdict: &Verdict,
+        response_info: &ResponseInfo,
     ) -> Attempt {
         let key = answered.choice.key;
         let Ok(body) = relay::read_body(&mut answered.reply).await else {
@@ -170,7 +175,7 @@
         }
         self.began(&answered.choice, answered.placed, answered.sent_at);
         let head = self.entry.dialect.answer(&answered.reply.head);
-        self.keep(key, answered.reply, verdict);
+        self.keep(key, answered.reply, response_info);
         let how = self.account_whole(key, status);
         if answerer
             .send_response(head, body, self.is_closing())
@@ -203,7 +208,7 @@
         &self,
         answerer: &mut Answerer,
         mut answered: Answered<'_>,
-        verdict: &Verdict,
+        response_info: &ResponseInfo,
     ) -> Attempt {
         let key = answered.choice.key;
         let status = answered.reply.head.status.as_u16();
@@ -225,7 +230,7 @@
         match relay::events(reply, answerer, context, next, begin, left).await {
             Ok(()) => {
                 answered.placed.answered();
-                self.keep(key, answered.reply, verdict);
+                self.keep(key, answered.reply, response_info);
                 self.entry.endpoint_served(key);
                 self.log_ended(RequestOutcome::Served, status);
                 Attempt::Over(answerer.keeps_connection())
@@ -259,9 +264,9 @@
     }
 
     /// Keeps the connection for another request, if the answer left it usable.
-    fn keep(&self, key: EndpointKey, reply: Reply, verdict: &Verdict) {
+    fn keep(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
         if let Some(mut channel) = reply.into_connection() {
-            channel.idle_time = verdict.idle_time;
+            channel.idle_time = response_info.idle_time;
             self.entry.keep_channel(key, channel);
         }
     }
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -21,7 +21,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::{Catalog, RepeatPolicy, ResponseKind, Route};
 use crate::direct::decision::{RefusalReason, RequestOutcome};
-use crate::direct::dialect::Ask;
+use crate::direct::dialect::ParsedRequest;
 use crate::direct::directory::EndpointKey;
 use crate::direct::entry::Entry;
 use crate::direct::intake::Incoming;
@@ -71,7 +71,7 @@
 pub struct Job<'a> {
     entry: &'a Rc<Entry>,
     incoming: &'a Incoming,
-    ask: &'a Ask,
+    ask: &'a ParsedRequest,
     progress: &'a RefCell<Progress>,
     /// The configuration that the request runs under.
     catalog: Rc<Catalog>,
@@ -112,15 +112,15 @@
     pub fn new(
         entry: &'a Rc<Entry>,
         incoming: &'a Incoming,
-        ask: &'a Ask,
+        ask: &'a ParsedRequest,
         progress: &'a RefCell<Progress>,
         catalog: Rc<Catalog>,
         allowed: Allowed,
     ) -> Self {
         let route = &catalog.routes[allowed.route.0];
         let pool = pick_pool(route);
-        let patience = ask.patience.unwrap_or(route.timeout);
-        let end = incoming.at + patience.min(route.timeout);
+        let caller_timeout = ask.caller_timeout.unwrap_or(route.timeout);
+        let end = incoming.at + caller_timeout.min(route.timeout);
         let team = allowed.team.map(|team| catalog.teams[team.0].name.as_str());
         let request = fingerprint(team, ask, incoming);
         let mut noted = progress.borrow_mut();
@@ -282,7 +282,7 @@
 }
 
 /// What a request asks for.
-fn fingerprint(team: Option<&str>, ask: &Ask, incoming: &Incoming) -> Fingerprint {
+fn fingerprint(team: Option<&str>, ask: &ParsedRequest, incoming: &Incoming) -> Fingerprint {
     let head = &incoming.head;
     let target = head.uri.path_and_query();
     let target = target.map_or("", |target| target.as_str());
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -12,7 +12,7 @@
 use crate::direct::catalog::PoolShare;
 use crate::direct::channel::{Connection, ExchangeError, Reply};
 use crate::direct::choose::Choice;
-use crate::direct::dialect::Order;
+use crate::direct::dialect::EndpointRequest;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
 use crate::direct::health::Fault;
@@ -115,7 +115,7 @@
         now: Millis,
     ) -> Attempt {
         let key = choice.key;
-        let Some(head) = self.order(&choice, now) else {
+        let Some(head) = self.endpoint_request(&choice, now) else {
             return Attempt::NotSent(key);
         };
         self.note_placement(&choice);
@@ -155,19 +155,19 @@
     /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
     /// endpoint announces in it holds all the same.
     fn is_own(&self, key: EndpointKey, head: &ResponseHead) -> bool {
-        let verdict = self.entry.dialect.verdict(head, &self.ask.id);
-        if !verdict.is_own {
-            let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
+        let response_info = self.entry.dialect.response_info(head, &self.ask.id);
+        if !response_info.is_own {
+            let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
             self.entry.endpoint_announced(key, announcement, id);
             let sent = Millis(0);
             self.entry
                 .endpoint_limited(key, announcement.limit, sent, id);
         }
-        verdict.is_own
+        response_info.is_own
     }
 
     /// The head that the endpoint gets; `None` when it has left the list.
-    fn order(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
+    fn endpoint_request(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
         self.log_placed(choice, &endpoint.listed.id, now);
@@ -177,7 +177,7 @@
         let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
         let fetch_from = fetch_from.map(|e| e.listed.address);
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
-        let order = Order {
+        let endpoint_request = EndpointRequest {
             endpoint: &endpoint.listed.id,
             time_left: self.end - now,
             team: team.map(|team| team.name.as_str()),
@@ -190,7 +190,11 @@
             copy_to: copy.filter(|_| !self.takes_over),
             copy_of: copy.filter(|_| self.takes_over),
         };
-        Some(self.entry.dialect.order(&self.incoming.head, &order))
+        Some(
+            self.entry
+                .dialect
+                .endpoint_request(&self.incoming.head, &endpoint_request),
+        )
     }
 
     /// Remembers where the parts of the prompt are now, also for peers.
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{Decision, RefusalReason};
-use crate::direct::dialect::{Ask, Refusal};
+use crate::direct::dialect::{ParsedRequest, Refusal};
 use crate::direct::entry::{Entry, Life};
 use crate::direct::intake::Incoming;
 use crate::direct::resolve::Denied;
@@ -17,7 +17,7 @@
 pub async fn deny(
     entry: &Entry,
     answerer: &mut Answerer,
-    ask: &Ask,
+    ask: &ParsedRequest,
     incoming: &Incoming,
     denied: Denied,
 ) -> bool {
@@ -35,7 +35,7 @@
     entry: &Entry,
     answerer: &mut Answerer,
     refusal: Refusal,
-    ask: Option<&Ask>,
+    ask: Option<&ParsedRequest>,
 ) -> bool {
     let head = entry.dialect.refusal(refusal, ask.map(|ask| &ask.id));
     let close = entry.life() != Life::Serving;
@@ -55,7 +55,7 @@
 /// Logs a refusal, `of` a request that was allowed or not.
 pub fn log(
     entry: &Entry,
-    ask: &Ask,
+    ask: &ParsedRequest,
     incoming: &Incoming,
     why: RefusalReason,
     of: Option<AllowedRequest>,
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::direct::catalog::{Catalog, RouteKey};
-use crate::direct::dialect::Ask;
+use crate::direct::dialect::ParsedRequest;
 use crate::direct::freshness::Freshness;
 use crate::ids::TeamKey;
 
@@ -45,7 +45,11 @@
 ///
 /// A denial is only told when the configuration is fresh; otherwise it may be a newer one that
 /// allows the request.
-pub fn resolve(knowledge: Knowledge<'_>, ask: &Ask, now: Millis) -> Result<Allowed, Denied> {
+pub fn resolve(
+    knowledge: Knowledge<'_>,
+    ask: &ParsedRequest,
+    now: Millis,
+) -> Result<Allowed, Denied> {
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
         .key_proof_age
--- a/src/direct/sync/client.rs
+++ b/src/direct/sync/client.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::direct::channel::{Connection, ExchangeError, Reply};
-use crate::direct::dialect::Unusable;
+use crate::direct::dialect::InvalidResponse;
 
 /// Longest body that is read, in bytes.
 const MOST_BODY: usize = 16 << 20;
@@ -30,7 +30,7 @@
     /// No answer in time, or it stopped arriving.
     Silent,
     /// The answer can't be used.
-    Unusable(Unusable),
+    InvalidResponse(InvalidResponse),
 }
 
 impl std::fmt::Display for CallError {
@@ -38,7 +38,7 @@
         match self {
             Self::Connection(failure) => write!(f, "connection: {failure:?}"),
             Self::Silent => f.write_str("no answer in time"),
-            Self::Unusable(why) => write!(f, "unusable answer: {why}"),
+            Self::InvalidResponse(why) => write!(f, "unusable answer: {why}"),
         }
     }
 }
--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -55,7 +55,7 @@
         let query = entry.dialect.page_query(from.as_deref());
         let (status, body) = call(entry, client, Document::List, query, CALL_TIME).await?;
         let page = entry.dialect.page(status, &body);
-        let page = page.map_err(CallError::Unusable)?;
+        let page = page.map_err(CallError::InvalidResponse)?;
         let begun = *first.get_or_insert(page.current);
         listing.endpoints.extend(page.listing.endpoints);
         listing.cordons.extend(page.listing.cordons);
@@ -77,5 +77,5 @@
     let query = entry.dialect.catalog_query();
     let (status, body) = call(entry, client, Document::Catalog, query, CALL_TIME).await?;
     let catalog = entry.dialect.catalog(status, &body);
-    catalog.map_err(CallError::Unusable)
+    catalog.map_err(CallError::InvalidResponse)
 }
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -64,7 +64,7 @@
     let head = entry.dialect.snapshot_query();
     let (status, body) = call(entry, client, Document::Revision, head, CALL_TIME).await?;
     let snapshot = entry.dialect.snapshot(status, &body);
-    snapshot.map_err(CallError::Unusable)
+    snapshot.map_err(CallError::InvalidResponse)
 }
 
 /// Waits until the newest proof is so old that another is due.
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -11,7 +11,7 @@
 use super::prove::ask_snapshot;
 use super::{finish, pause, Arriving, CallError, Document, Reading, StoreClient};
 use crate::clock::Millis;
-use crate::direct::dialect::{Scope, Watched, Written};
+use crate::direct::dialect::{StoreUpdate, WatchResult, WatchScope};
 use crate::direct::directory::Revision;
 use crate::direct::entry::Entry;
 
@@ -37,7 +37,7 @@
 /// Watches everything once; false when everything is to be read anew.
 pub(super) async fn watch(entry: &Rc<Entry>, client: &StoreClient) -> bool {
     let begun = tokio::select! {
-        begun = begin(entry, client, Scope::All, entry.applied(), WATCH_WAIT) => begun,
+        begun = begin(entry, client, WatchScope::All, entry.applied(), WATCH_WAIT) => begun,
         () = entry.list_again.notified() => return false,
         () = entry.watch_again.notified() => return true,
     };
@@ -46,7 +46,7 @@
         watched = read(entry, client, begun) => watched,
         never = mind_endpoints(entry) => match never {},
     };
-    take(entry, Scope::All, watched).await
+    take(entry, WatchScope::All, watched).await
 }
 
 /// Looks once for changes of the list that peers did not bring; false when everything is to be read
@@ -58,30 +58,30 @@
 /// Watches the list of endpoints alone, once; false when that is to be read anew.
 async fn watch_endpoints(entry: &Rc<Entry>, client: &StoreClient, wait: Millis) -> bool {
     let after = entry.listed_up_to();
-    let begun = begin(entry, client, Scope::Endpoints, after, wait).await;
+    let begun = begin(entry, client, WatchScope::Endpoints, after, wait).await;
     let watched = match read(entry, client, begun).await {
-        Ok(Watched::Changes(changes, current)) => {
+        Ok(WatchResult::Changes(changes, current)) => {
             add_cordons(entry, client, changes, current).await
         }
         other => other,
     };
-    take(entry, Scope::Endpoints, watched).await
+    take(entry, WatchScope::Endpoints, watched).await
 }
 
 /// Adds the cordons as they stand now to changes of the list of endpoints, whose watch does not bring them.
 async fn add_cordons(
     entry: &Entry,
     client: &StoreClient,
-    mut changes: Vec<Written>,
+    mut changes: Vec<StoreUpdate>,
     current: Revision,
-) -> Result<Watched, CallError> {
+) -> Result<WatchResult, CallError> {
     let snapshot = ask_snapshot(entry, client).await?;
     let before = entry.listed_up_to();
     let cordons = snapshot.cordons.unwrap_or_default();
     let directory = entry.directory();
     let cordons = directory.cordon_changes_to(&cordons, before, snapshot.current);
-    changes.extend(cordons.into_iter().map(Written::Change));
-    Ok(Watched::Changes(changes, current))
+    changes.extend(cordons.into_iter().map(StoreUpdate::Change));
+    Ok(WatchResult::Changes(changes, current))
 }
 
 /// Keeps the list of endpoints up to date while a large answer arrives; never ends.
@@ -99,9 +99,13 @@
 }
 
 /// Takes what a watch brought; false when everything is to be read anew.
-async fn take(entry: &Rc<Entry>, scope: Scope, watched: Result<Watched, CallError>) -> bool {
+async fn take(
+    entry: &Rc<Entry>,
+    scope: WatchScope,
+    watched: Result<WatchResult, CallError>,
+) -> bool {
     match watched {
-        Ok(Watched::Changes(changes, current)) => {
+        Ok(WatchResult::Changes(changes, current)) => {
             entry.store_answered();
             let is_idle = changes.is_empty();
             apply(entry, scope, changes, current);
@@ -110,7 +114,7 @@
             }
             true
         }
-        Ok(Watched::HistoryGone) => false,
+        Ok(WatchResult::HistoryGone) => false,
         Err(err) => {
             // This alone does not mean that the store is away.
             tracing::debug!(%err, "watch ended, reading everything anew");
@@ -124,7 +128,7 @@
 async fn begin(
     entry: &Entry,
     client: &StoreClient,
-    scope: Scope,
+    scope: WatchScope,
     after: Revision,
     wait: Millis,
 ) -> Result<Arriving, CallError> {
@@ -137,21 +141,21 @@
     entry: &Entry,
     client: &StoreClient,
     begun: Result<Arriving, CallError>,
-) -> Result<Watched, CallError> {
+) -> Result<WatchResult, CallError> {
     let reading = Reading::begin(entry, Document::Changes, None);
     let (status, body) = finish(entry, client, reading, begun).await?;
     let watched = entry.dialect.watched(status, &body);
-    watched.map_err(CallError::Unusable)
+    watched.map_err(CallError::InvalidResponse)
 }
 
 /// Applies all changes of a scope up to a revision.
-fn apply(entry: &Rc<Entry>, scope: Scope, written: Vec<Written>, current: Revision) {
+fn apply(entry: &Rc<Entry>, scope: WatchScope, written: Vec<StoreUpdate>, current: Revision) {
     let mut changes = Vec::new();
     for written in written {
         match written {
-            Written::Catalog(catalog) => entry.take_catalog(catalog, "store"),
-            Written::Change(change) => changes.push(change),
-            Written::Unreadable(found, change) => {
+            StoreUpdate::Catalog(catalog) => entry.take_catalog(catalog, "store"),
+            StoreUpdate::Change(change) => changes.push(change),
+            StoreUpdate::Unreadable(found, change) => {
                 entry.found_unreadable(found);
                 changes.extend(change);
             }
@@ -160,7 +164,7 @@
     let before = entry.listed_up_to();
     entry.take_changes(changes, current);
     entry.log_list_known(before, "store");
-    if scope == Scope::All {
+    if scope == WatchScope::All {
         entry.catalog_known_up_to(current);
     }
 }
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -6,16 +6,16 @@
 use common::{catalog, route};
 use violetline::clock::Millis;
 use violetline::direct::catalog::{Catalog, Route};
-use violetline::direct::dialect::Ask;
+use violetline::direct::dialect::ParsedRequest;
 use violetline::direct::freshness::Freshness;
 use violetline::direct::resolve::{resolve, Allowed, Denied, Knowledge};
 
 const BOUND: Millis = Millis(4_750);
 
-fn ask(path: &str, key: Option<&str>) -> Ask {
-    Ask {
+fn ask(path: &str, key: Option<&str>) -> ParsedRequest {
+    ParsedRequest {
         id: HeaderValue::from_static("1"),
-        patience: None,
+        caller_timeout: None,
         key: key.map(Into::into),
         host: "host.example".into(),
         path: path.into(),
@@ -33,7 +33,7 @@
     catalog(3, vec![route("keyed", "/k/"), public])
 }
 
-fn decide(proven: Option<u64>, now: u64, ask: &Ask) -> Result<Allowed, Denied> {
+fn decide(proven: Option<u64>, now: u64, ask: &ParsedRequest) -> Result<Allowed, Denied> {
     let catalog = routes();
     let mut freshness = Freshness::default();
     if let Some(at) = proven {
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -7,7 +7,7 @@
 use base64::Engine;
 use common::{entry, listed};
 use serde_json::{json, Value};
-use violetline::direct::dialect::{Dialect, Unreadable, Watched, Written};
+use violetline::direct::dialect::{Dialect, StoreUpdate, Unreadable, WatchResult};
 use violetline::direct::directory::Change;
 use violetline::platform::Platform;
 
@@ -111,14 +111,14 @@
     let event = item("servers/a", "{}", 8);
     let body = json!({"events": [event], "current_rev": 8}).to_string();
     let watched = Platform.watched(StatusCode::OK, body.as_bytes());
-    let Ok(Watched::Changes(changes, 8)) = watched else {
+    let Ok(WatchResult::Changes(changes, 8)) = watched else {
         panic!("changes up to 8");
     };
     let removed = Change::Removed {
         id: "a".into(),
         revision: 8,
     };
-    assert!(matches!(&changes[0], Written::Unreadable(_, Some(change)) if *change == removed));
+    assert!(matches!(&changes[0], StoreUpdate::Unreadable(_, Some(change)) if *change == removed));
 }
 
 #[test]
--- a/tests/platform_announcements.rs
+++ b/tests/platform_announcements.rs
@@ -16,7 +16,7 @@
             .append(name, HeaderValue::from_str(value).unwrap());
     }
     let id = HeaderValue::from_static("9");
-    Platform.verdict(&head, &id).announcement
+    Platform.response_info(&head, &id).announcement
 }
 
 /// What an endpoint announces in the head of any answer.
