--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -12,7 +12,7 @@
 use crate::direct::decision::RequestOutcome;
 use crate::direct::entry::Entry;
 use crate::direct::handle::handle;
-use crate::direct::intake::{Incoming, Intake, NoRequest};
+use crate::direct::intake::{IncomingRequest, RequestReadError, RequestReader};
 use crate::direct::progress::Progress;
 
 /// Pause after an error of the listener, such as too many open files.
@@ -38,13 +38,13 @@
         tracing::debug!(%err, "small packets may be delayed");
     }
     let (reader, writer) = stream.into_split();
-    let mut intake = Intake::new(reader);
+    let mut intake = RequestReader::new(reader);
     let mut answerer = Answerer::new(writer);
     loop {
         let read = intake.next(&entry, &mut answerer).await;
         let kept = match read {
             Ok(incoming) => serve_one(&entry, &incoming, &mut intake, &mut answerer).await,
-            Err(NoRequest::Refused(refusal)) => {
+            Err(RequestReadError::Refused(refusal)) => {
                 let head = entry.dialect.refusal(refusal, None);
                 if answerer
                     .send_response(head, Bytes::new(), true)
@@ -55,7 +55,7 @@
                 }
                 false
             }
-            Err(NoRequest::Closed) => false,
+            Err(RequestReadError::Closed) => false,
         };
         if !kept {
             return;
@@ -66,8 +66,8 @@
 /// Serves one request; false when the connection is to be closed.
 async fn serve_one(
     entry: &Rc<Entry>,
-    incoming: &Incoming,
-    intake: &mut Intake,
+    incoming: &IncomingRequest,
+    intake: &mut RequestReader,
     answerer: &mut Answerer,
 ) -> bool {
     let _in_flight = entry.count_in_flight();
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -7,7 +7,7 @@
 use crate::direct::decision::RefusalReason;
 use crate::direct::dialect::Refusal;
 use crate::direct::entry::{Entry, Life};
-use crate::direct::intake::Incoming;
+use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
 use crate::direct::refuse::{self, COME_BACK_ELSEWHERE};
@@ -16,7 +16,7 @@
 /// Serves a request; false when the connection is to be closed.
 pub async fn handle(
     entry: &Rc<Entry>,
-    incoming: &Incoming,
+    incoming: &IncomingRequest,
     answerer: &mut Answerer,
     progress: &RefCell<Progress>,
 ) -> bool {
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -24,18 +24,18 @@
 
 /// A request that has been read whole.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Bytes,
     /// When its first byte was read.
-    pub at: Millis,
+    pub received_at: Millis,
 }
 
 /// Why no request was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoRequest {
+pub enum RequestReadError {
     /// The caller closed, or the connection was idle too long.
     Closed,
     /// What came is not acceptable.
@@ -44,12 +44,12 @@
 
 /// The reading side of a connection.
 #[derive(Debug)]
-pub struct Intake {
+pub struct RequestReader {
     reader: OwnedReadHalf,
     buf: BytesMut,
 }
 
-impl Intake {
+impl RequestReader {
     /// The reading side of a fresh connection.
     pub fn new(reader: OwnedReadHalf) -> Self {
         Self {
@@ -63,36 +63,44 @@
         &mut self,
         entry: &Entry,
         answerer: &mut Answerer,
-    ) -> Result<Incoming, NoRequest> {
+    ) -> Result<IncomingRequest, RequestReadError> {
         let limits = entry.catalog().map(|c| c.limits).unwrap_or_default();
         if self.buf.is_empty() {
             self.first_bytes(entry, limits).await?;
         }
-        let at = entry.clock.now();
+        let received_at = entry.clock.now();
         let reading = timeout(limits.head_time.duration(), self.head(answerer, limits));
         let head = reading
             .await
-            .map_err(|_| NoRequest::Refused(Refusal::TooSlow))??;
+            .map_err(|_| RequestReadError::Refused(Refusal::TooSlow))??;
         if head.expect() && self.buf.is_empty() {
             answerer
                 .send_continue()
                 .await
-                .map_err(|_| NoRequest::Closed)?;
+                .map_err(|_| RequestReadError::Closed)?;
         }
         let body = self.body(answerer, limits).await?;
-        Ok(Incoming { head, body, at })
+        Ok(IncomingRequest {
+            head,
+            body,
+            received_at,
+        })
     }
 
     /// Waits for a request to begin; ends when the connection is idle too long or a stop needs it.
-    async fn first_bytes(&mut self, entry: &Entry, limits: CallerLimits) -> Result<(), NoRequest> {
+    async fn first_bytes(
+        &mut self,
+        entry: &Entry,
+        limits: CallerLimits,
+    ) -> Result<(), RequestReadError> {
         let mut life = entry.watch_life();
         tokio::select! {
             biased;
             read = timeout(limits.idle_time.duration(), self.read()) => match read {
                 Ok(read) => read,
-                Err(_) => Err(NoRequest::Closed),
+                Err(_) => Err(RequestReadError::Closed),
             },
-            _ = life.wait_for(|life| *life == Life::Stopping) => Err(NoRequest::Closed),
+            _ = life.wait_for(|life| *life == Life::Stopping) => Err(RequestReadError::Closed),
         }
     }
 
@@ -101,20 +109,20 @@
         &mut self,
         answerer: &mut Answerer,
         limits: CallerLimits,
-    ) -> Result<RequestHead, NoRequest> {
-        let malformed = |_| NoRequest::Refused(Refusal::Malformed);
+    ) -> Result<RequestHead, RequestReadError> {
+        let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
         loop {
             let before = self.buf.len();
             if let Some(message) = answerer.decode(&mut self.buf).map_err(malformed)? {
                 let too_long = before - self.buf.len() > limits.head_bytes;
                 return match message {
-                    _ if too_long => Err(NoRequest::Refused(Refusal::HeadTooLong)),
+                    _ if too_long => Err(RequestReadError::Refused(Refusal::HeadTooLong)),
                     Message::Item(req) => Ok(req.head().clone()),
-                    Message::Chunk(_) => Err(NoRequest::Refused(Refusal::Malformed)),
+                    Message::Chunk(_) => Err(RequestReadError::Refused(Refusal::Malformed)),
                 };
             }
             if before > limits.head_bytes {
-                return Err(NoRequest::Refused(Refusal::HeadTooLong));
+                return Err(RequestReadError::Refused(Refusal::HeadTooLong));
             }
             self.read().await?;
         }
@@ -125,26 +133,28 @@
         &mut self,
         answerer: &mut Answerer,
         limits: CallerLimits,
-    ) -> Result<Bytes, NoRequest> {
+    ) -> Result<Bytes, RequestReadError> {
         if !answerer.expects_body() {
             return Ok(Bytes::new());
         }
-        let malformed = |_| NoRequest::Refused(Refusal::Malformed);
+        let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
         let mut body = BytesMut::new();
         loop {
             match answerer.decode(&mut self.buf).map_err(malformed)? {
                 Some(Message::Chunk(Some(chunk))) => body.extend_from_slice(&chunk),
                 Some(Message::Chunk(None)) => return Ok(body.freeze()),
-                Some(Message::Item(_)) => return Err(NoRequest::Refused(Refusal::Malformed)),
+                Some(Message::Item(_)) => {
+                    return Err(RequestReadError::Refused(Refusal::Malformed))
+                }
                 None => {
                     let reading = timeout(limits.head_time.duration(), self.read());
                     reading
                         .await
-                        .map_err(|_| NoRequest::Refused(Refusal::TooSlow))??;
+                        .map_err(|_| RequestReadError::Refused(Refusal::TooSlow))??;
                 }
             }
             if body.len() > limits.body_bytes {
-                return Err(NoRequest::Refused(Refusal::BodyTooLong));
+                return Err(RequestReadError::Refused(Refusal::BodyTooLong));
             }
         }
     }
@@ -175,11 +185,11 @@
     }
 
     /// Reads some bytes.
-    async fn read(&mut self) -> Result<(), NoRequest> {
+    async fn read(&mut self) -> Result<(), RequestReadError> {
         self.buf.reserve(READ_ROOM);
         match self.reader.read_buf(&mut self.buf).await {
             Ok(n) if n > 0 => Ok(()),
-            _ => Err(NoRequest::Closed),
+            _ => Err(RequestReadError::Closed),
         }
     }
 }
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -223,7 +223,7 @@
         };
         let left = || {
             let now = self.entry.clock.now();
-            self.progress.borrow_mut().piece_left(now);
+            self.progress.borrow_mut().chunk_sent(now);
         };
         let next = async |reply: &mut Reply| self.next_piece(reply).await;
         let reply = &mut answered.reply;
@@ -254,9 +254,9 @@
             account.record.began(now, now - sent_at, choice.usual_ms);
         });
         let mut progress = self.progress.borrow_mut();
-        if progress.first.is_none() {
-            progress.first = Some(now);
-            let ms = (now - self.incoming.at).0 as f64;
+        if progress.first_byte_at.is_none() {
+            progress.first_byte_at = Some(now);
+            let ms = (now - self.incoming.received_at).0 as f64;
             self.entry
                 .gauges
                 .first_byte(&self.pool, self.priority(), ms);
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -24,7 +24,7 @@
 use crate::direct::dialect::ParsedRequest;
 use crate::direct::directory::EndpointKey;
 use crate::direct::entry::Entry;
-use crate::direct::intake::Incoming;
+use crate::direct::intake::IncomingRequest;
 use crate::direct::load;
 use crate::direct::progress::Progress;
 use crate::direct::refuse;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Job<'a> {
     entry: &'a Rc<Entry>,
-    incoming: &'a Incoming,
+    incoming: &'a IncomingRequest,
     ask: &'a ParsedRequest,
     progress: &'a RefCell<Progress>,
     /// The configuration that the request runs under.
@@ -111,7 +111,7 @@
     /// A request that has not been sent yet, in one of its route's pools.
     pub fn new(
         entry: &'a Rc<Entry>,
-        incoming: &'a Incoming,
+        incoming: &'a IncomingRequest,
         ask: &'a ParsedRequest,
         progress: &'a RefCell<Progress>,
         catalog: Rc<Catalog>,
@@ -120,7 +120,7 @@
         let route = &catalog.routes[allowed.route.0];
         let pool = pick_pool(route);
         let caller_timeout = ask.caller_timeout.unwrap_or(route.timeout);
-        let end = incoming.at + caller_timeout.min(route.timeout);
+        let end = incoming.received_at + caller_timeout.min(route.timeout);
         let team = allowed.team.map(|team| catalog.teams[team.0].name.as_str());
         let request = fingerprint(team, ask, incoming);
         let mut noted = progress.borrow_mut();
@@ -282,7 +282,7 @@
 }
 
 /// What a request asks for.
-fn fingerprint(team: Option<&str>, ask: &ParsedRequest, incoming: &Incoming) -> Fingerprint {
+fn fingerprint(team: Option<&str>, ask: &ParsedRequest, incoming: &IncomingRequest) -> Fingerprint {
     let head = &incoming.head;
     let target = head.uri.path_and_query();
     let target = target.map_or("", |target| target.as_str());
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -21,7 +21,7 @@
     /// It waits as long as it may and still be in time: most that wait are innocent and get their turn within
     /// the time of one answer.
     pub(super) async fn wait_for_turn(&self) -> Option<RefusalReason> {
-        let wait_until = (self.incoming.at + self.route().target).min(self.end);
+        let wait_until = (self.incoming.received_at + self.route().target).min(self.end);
         let mut is_spread = false;
         loop {
             // Registered before the look, so that no change is missed.
@@ -72,7 +72,9 @@
             Standing::UnderWay { began, .. } if self.is_own_turn(began) => true,
             Standing::Refused { .. } => false,
             Standing::UnderWay { ends, .. } if ends >= ENDS_TO_TURN_AWAY => false,
-            Standing::UnderWay { .. } if now < self.incoming.at + self.route().target => false,
+            Standing::UnderWay { .. } if now < self.incoming.received_at + self.route().target => {
+                false
+            }
             Standing::Suspect { .. } | Standing::UnderWay { .. } => {
                 self.turn = Some(now);
                 self.entry.suspect_began(self.request, now);
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -7,7 +7,7 @@
 use crate::direct::decision::{Decision, RefusalReason};
 use crate::direct::dialect::{ParsedRequest, Refusal};
 use crate::direct::entry::{Entry, Life};
-use crate::direct::intake::Incoming;
+use crate::direct::intake::IncomingRequest;
 use crate::direct::resolve::Denied;
 
 /// Advice while this entry can't decide; another entry can.
@@ -18,7 +18,7 @@
     entry: &Entry,
     answerer: &mut Answerer,
     ask: &ParsedRequest,
-    incoming: &Incoming,
+    incoming: &IncomingRequest,
     denied: Denied,
 ) -> bool {
     log(entry, ask, incoming, RefusalReason::Denied(denied), None);
@@ -56,7 +56,7 @@
 pub fn log(
     entry: &Entry,
     ask: &ParsedRequest,
-    incoming: &Incoming,
+    incoming: &IncomingRequest,
     why: RefusalReason,
     of: Option<AllowedRequest>,
 ) {
@@ -65,7 +65,7 @@
         target: format!("{}{}", ask.host, ask.path),
         catalog: entry.version(),
         proof_age_ms: entry.proof_age().map(|age| age.0),
-        held_ms: (entry.clock.now() - incoming.at).0,
+        held_ms: (entry.clock.now() - incoming.received_at).0,
         urgency: of.map(|of| of.urgency),
         free_endpoints: of.map(|of| of.free_endpoints),
     };
