--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -308,7 +308,7 @@
         let knowledge = Knowledge {
             catalog: catalog.as_deref(),
             freshness: &freshness,
-            key_proof_age: self.settings.borrow().bounds.key_proof_age(),
+            max_key_proof_age: self.settings.borrow().bounds.max_key_proof_age(),
         };
         resolve(knowledge, ask, self.clock.now())
     }
--- a/src/direct/fetch.rs
+++ b/src/direct/fetch.rs
@@ -20,7 +20,7 @@
 
 /// Takes a newer configuration from a peer; the store may not be reachable from here.
 pub async fn catalog(entry: Rc<Entry>, from: SocketAddr) {
-    let query = ready::newer_query(entry.version());
+    let query = ready::catalog_since_query(entry.version());
     match ask(&entry, from, Document::Catalog, query).await {
         Ok((status, body)) if status.is_success() => match versions::decode(&body) {
             Some(newer) => {
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -115,7 +115,7 @@
 }
 
 /// Asks a peer for what makes its configuration of a version.
-pub fn newer_query(version: u64) -> RequestHead {
+pub fn catalog_since_query(version: u64) -> RequestHead {
     get(&format!("{NEWER_PATH}{version}"))
 }
 
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -15,7 +15,7 @@
     /// When it was last proven to be the newest.
     pub freshness: &'a Freshness,
     /// Age of that proof up to which requests with a key may run; `None` for any.
-    pub key_proof_age: Option<Millis>,
+    pub max_key_proof_age: Option<Millis>,
 }
 
 /// A request that may run.
@@ -52,7 +52,7 @@
 ) -> Result<Allowed, Denied> {
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
-        .key_proof_age
+        .max_key_proof_age
         .is_none_or(|bound| knowledge.freshness.within(now, bound));
     let Some(route) = catalog.route(&ask.host, &ask.path) else {
         return Err(when_fresh(fresh, Denied::NoRoute));
--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -92,7 +92,7 @@
 
 impl Bounds {
     /// Age of the configuration's proof up to which requests with a key may run; `None` for any.
-    pub fn key_proof_age(&self) -> Option<Millis> {
+    pub fn max_key_proof_age(&self) -> Option<Millis> {
         self.key_removal_ms.map(|ms| Millis(ms) - KEY_REMOVAL_SLACK)
     }
 
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -98,7 +98,7 @@
     if entry.is_watching() {
         return PROVE_AT;
     }
-    let bound = entry.settings.borrow().bounds.key_proof_age();
+    let bound = entry.settings.borrow().bounds.max_key_proof_age();
     bound.map_or(FOLLOWER_PROVES_AT, |bound| {
         Millis(bound.0 / 2).min(FOLLOWER_PROVES_AT)
     })
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -42,7 +42,7 @@
     let knowledge = Knowledge {
         catalog: Some(&catalog),
         freshness: &freshness,
-        key_proof_age: Some(BOUND),
+        max_key_proof_age: Some(BOUND),
     };
     resolve(knowledge, ask, Millis(now))
 }
@@ -81,7 +81,7 @@
     let knowledge = Knowledge {
         catalog: None,
         freshness: &Freshness::default(),
-        key_proof_age: None,
+        max_key_proof_age: None,
     };
     let denied = resolve(knowledge, &ask("/k/x", None), Millis(0));
     assert_eq!(denied, Err(Denied::NoCatalog));
