--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -28,7 +28,7 @@
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It does.
     Ready,
     /// It finishes what it has.
@@ -39,7 +39,7 @@
     Displaced,
 }
 
-impl Standing {
+impl EndpointStatus {
     /// Whether an endpoint that stands so takes new work.
     const fn is_open(self) -> bool {
         match self {
@@ -55,7 +55,7 @@
     /// Its newest entry.
     pub listed: Listed,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Digest of this life of it, for messages between entries.
     pub digest: u32,
     /// What it has announced of itself. No word of the list takes that back: the list hears later than the callers
@@ -70,13 +70,13 @@
 impl Endpoint {
     /// Until when it is taken to warm up, where that takes `time` from its beginning; 0 where nothing ever
     /// said that it does.
-    pub fn warm_at(&self, time: Millis) -> Millis {
+    pub fn warm_until(&self, time: Millis) -> Millis {
         let doubted = self.doubted.map(|at| at + time);
         doubted.map_or(self.told_warm_at, |until| until.max(self.told_warm_at))
     }
 
     /// Whether it warms up by its own entries.
-    pub fn is_told_warming(&self, now: Millis) -> bool {
+    pub fn is_listed_warming(&self, now: Millis) -> bool {
         now < self.told_warm_at
     }
 
@@ -120,19 +120,19 @@
 
 impl Directory {
     /// The list can't be read.
-    pub fn list_away(&mut self) {
+    pub fn list_unavailable(&mut self) {
         self.away = true;
     }
 
     /// The list answers (again).
-    pub fn list_answers(&mut self, now: Millis) {
+    pub fn list_available(&mut self, now: Millis) {
         if !self.away {
             return;
         }
         self.away = false;
         self.returned = Some(now);
         for endpoint in self.arena.values_mut() {
-            if let Standing::Lapsed(until) = &mut endpoint.standing {
+            if let EndpointStatus::Lapsed(until) = &mut endpoint.status {
                 *until = now + LAPSE_GRACE;
             }
         }
@@ -227,7 +227,7 @@
     /// Finds lapsed entries whose address another endpoint has been listed at since. What is sent for them reaches that
     /// one, though it may rest, and is refused there.
     fn displace(&mut self) {
-        let is_lapsed = |e: &Endpoint| matches!(e.standing, Standing::Lapsed(_));
+        let is_lapsed = |e: &Endpoint| matches!(e.status, EndpointStatus::Lapsed(_));
         if !self.arena.values().any(is_lapsed) {
             return;
         }
@@ -239,7 +239,7 @@
         for endpoint in self.arena.values_mut().filter(|e| is_lapsed(e)) {
             let newest = listed.get(&endpoint.listed.address);
             if newest.is_some_and(|newest| *newest > endpoint.listed.revision) {
-                endpoint.standing = Standing::Displaced;
+                endpoint.status = EndpointStatus::Displaced;
             }
         }
     }
@@ -249,10 +249,10 @@
         let over: Vec<EndpointKey> = self
             .arena
             .iter()
-            .filter(|(_, e)| match e.standing {
-                Standing::Lapsed(until) => now >= until,
-                Standing::Displaced => true,
-                Standing::Ready | Standing::Draining => false,
+            .filter(|(_, e)| match e.status {
+                EndpointStatus::Lapsed(until) => now >= until,
+                EndpointStatus::Displaced => true,
+                EndpointStatus::Ready | EndpointStatus::Draining => false,
             })
             .map(|(key, _)| key)
             .collect();
@@ -277,7 +277,7 @@
 
     /// An endpoint announced something of itself, of which a time is believed for `longest` at most; what it had
     /// announced before.
-    pub fn announce(
+    pub fn record_announcement(
         &mut self,
         key: EndpointKey,
         announcement: Announcement,
@@ -296,14 +296,14 @@
     }
 
     /// An endpoint may have begun to warm up without its entry saying so.
-    pub fn doubt(&mut self, key: EndpointKey, now: Millis) {
+    pub fn assume_warm_up(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.arena.get_mut(key) {
             endpoint.doubted = Some(now);
         }
     }
 
     /// Endpoints of a pool that take new work.
-    pub fn of_pool<'a>(
+    pub fn available_in_pool<'a>(
         &'a self,
         pool: &'a str,
         now: Millis,
@@ -313,7 +313,7 @@
     }
 
     /// When the first endpoint of a pool has rested that would take work otherwise; `None` where none rests.
-    pub fn first_rested(&self, pool: &str, now: Millis) -> Option<Millis> {
+    pub fn earliest_backoff_end(&self, pool: &str, now: Millis) -> Option<Millis> {
         let of_pool = self.arena.values().filter(|e| e.listed.pool == pool);
         let resting =
             of_pool.filter(|e| e.announced.decline_reason(now) == Some(DeclineReason::Rests));
@@ -323,7 +323,8 @@
 
     /// What the platform's list held by the newest changes: all endpoints but those whose entries lapsed, and the cordons.
     pub fn listing(&self) -> Listing {
-        let is_listed = |e: &&Endpoint| matches!(e.standing, Standing::Ready | Standing::Draining);
+        let is_listed =
+            |e: &&Endpoint| matches!(e.status, EndpointStatus::Ready | EndpointStatus::Draining);
         let listed = self.arena.values().filter(is_listed);
         Listing {
             endpoints: listed.map(|e| e.listed.clone()).collect(),
@@ -332,7 +333,7 @@
     }
 
     /// Endpoints of the smallest pool; 0 where there is none.
-    pub fn smallest_pool(&self) -> usize {
+    pub fn smallest_pool_size(&self) -> usize {
         let mut counts: HashMap<&str, usize> = HashMap::new();
         for endpoint in self.arena.values() {
             *counts.entry(&endpoint.listed.pool).or_default() += 1;
@@ -358,7 +359,7 @@
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.decline_reason(now).is_none();
-        is_willing && endpoint.standing.is_open() && !self.cordons.holds(&endpoint.listed.zone)
+        is_willing && endpoint.status.is_open() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
     /// The endpoints of a zone that takes work again may have to warm up.
@@ -389,7 +390,7 @@
         if endpoint.listed.revision < listed.revision {
             endpoint.hear_warming(listed.warming, now);
         }
-        endpoint.standing = standing_of(&listed);
+        endpoint.status = listed_status(&listed);
         let born = listed.born.or(endpoint.listed.born);
         endpoint.listed = Listed { born, ..listed };
         None
@@ -400,7 +401,7 @@
         let digest = digest(&id, listed.born);
         let mut endpoint = Endpoint {
             digest,
-            standing: standing_of(&listed),
+            status: listed_status(&listed),
             announced: self.former.take(&id, listed.born),
             listed,
             told_warm_at: Millis(0),
@@ -417,7 +418,10 @@
     fn removed(&mut self, id: &str, revision: Revision, now: Millis) -> Option<EndpointKey> {
         let key = *self.by_id.get(id)?;
         let endpoint = self.arena.get_mut(key)?;
-        let was_removed = matches!(endpoint.standing, Standing::Lapsed(_) | Standing::Displaced);
+        let was_removed = matches!(
+            endpoint.status,
+            EndpointStatus::Lapsed(_) | EndpointStatus::Displaced
+        );
         if endpoint.listed.revision > revision || was_removed {
             return None;
         }
@@ -427,8 +431,10 @@
             _ => None,
         };
         match lapsed {
-            Some(until) if endpoint.standing == Standing::Ready && !endpoint.announced.leaves => {
-                endpoint.standing = Standing::Lapsed(until);
+            Some(until)
+                if endpoint.status == EndpointStatus::Ready && !endpoint.announced.leaves =>
+            {
+                endpoint.status = EndpointStatus::Lapsed(until);
                 None
             }
             _ => {
@@ -448,10 +454,10 @@
     }
 }
 
-const fn standing_of(listed: &Listed) -> Standing {
+const fn listed_status(listed: &Listed) -> EndpointStatus {
     if listed.draining {
-        Standing::Draining
+        EndpointStatus::Draining
     } else {
-        Standing::Ready
+        EndpointStatus::Ready
     }
 }
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -15,7 +15,7 @@
         let now = self.clock.now();
         let longest = Millis(self.settings.borrow().bounds.longest_rest_ms);
         let mut directory = self.directory.borrow_mut();
-        let Some(before) = directory.announce(key, announcement, now, longest) else {
+        let Some(before) = directory.record_announcement(key, announcement, now, longest) else {
             return;
         };
         drop(directory);
@@ -50,7 +50,7 @@
             for_ms: time.map(|time| time.0),
             in_answer_to: String::from_utf8_lossy(request).into_owned(),
         };
-        self.log.belief(announced);
+        self.log.state_change(announced);
     }
 
     /// Why an endpoint wants no requests now, by its own announcements.
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -8,9 +8,9 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::changes::PassedOn;
 use crate::direct::decision::Decision;
-use crate::direct::dialect::{Ask, Unreadable};
+use crate::direct::dialect::{ParsedRequest, Unreadable};
 use crate::direct::directory::Cordon;
-use crate::direct::directory::{Change, Directory, Listing, Revision, Standing};
+use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
 use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
@@ -113,7 +113,7 @@
 
     /// Puts a newer version in force; `patches` lead to it from the one before.
     fn put_in_force(&self, catalog: Catalog, patches: Vec<WrittenPatch>, from: &str) {
-        self.log.belief(Decision::CatalogInForce {
+        self.log.state_change(Decision::CatalogInForce {
             version: catalog.version,
             before: self.version(),
             from: from.into(),
@@ -190,7 +190,8 @@
         let up_to = self.listed_up_to.get();
         if up_to > after {
             let from = from.into();
-            self.log.belief(Decision::ListKnown { from, after, up_to });
+            self.log
+                .state_change(Decision::ListKnown { from, after, up_to });
         }
     }
 
@@ -210,10 +211,10 @@
         self.open_accounts();
         let directory = self.directory.borrow();
         let entry = directory.key(&endpoint).and_then(|key| directory.get(key));
-        if let Some(Standing::Lapsed(_)) = entry.map(|e| e.standing) {
+        if let Some(EndpointStatus::Lapsed(_)) = entry.map(|e| e.status) {
             standing = "lapsed while the list was away".into();
         }
-        self.log.belief(Decision::EndpointListed {
+        self.log.state_change(Decision::EndpointListed {
             endpoint,
             standing,
             revision,
@@ -233,7 +234,7 @@
         self.forget(gone.as_slice());
         let cordoned = self.directory.borrow().is_cordoned(&zone);
         if cordoned != before {
-            self.log.belief(Decision::ZoneCordon {
+            self.log.state_change(Decision::ZoneCordon {
                 zone,
                 cordoned,
                 revision,
@@ -256,7 +257,7 @@
         self.gauges.unreadable();
         let mut known = self.unreadable.borrow_mut();
         if known.len() < MOST_UNREADABLE && known.insert(found.key.clone()) {
-            self.log.belief(Decision::EntryUnreadable {
+            self.log.state_change(Decision::EntryUnreadable {
                 key: found.key,
                 why: found.why,
             });
@@ -301,13 +302,13 @@
     }
 
     /// Whether the configuration allows a request now.
-    pub fn allow(&self, ask: &Ask) -> Result<Allowed, Denied> {
+    pub fn allow(&self, ask: &ParsedRequest) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
         let knowledge = Knowledge {
             catalog: catalog.as_deref(),
             freshness: &freshness,
-            key_proof_age: self.settings.borrow().bounds.key_proof_age(),
+            max_key_proof_age: self.settings.borrow().bounds.max_key_proof_age(),
         };
         resolve(knowledge, ask, self.clock.now())
     }
