--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -3,7 +3,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Target};
-use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, PeerId, ZoneId};
+use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerBook, PeerId, ZoneId};
 use violetline::rate::Rate;
 
 const NOW: Millis = Millis(5_000);
@@ -22,7 +22,7 @@
     let mut book = PeerBook::new(address(0), &[], 1);
     book.set_zone("zone-0");
     for peer in 1..450 {
-        let hello = Hello {
+        let hello = GossipMessage {
             from: PeerId(peer as u64),
             number: 1,
             echo: None,
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -13,7 +13,7 @@
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
-use crate::direct::peers::{self, Covers, Hello, Tell, FAR_BYTES, MOST_BYTES, ROUND};
+use crate::direct::peers::{self, Covers, GossipMessage, Tell, FAR_BYTES, MOST_BYTES, ROUND};
 use crate::quarantine::{Notice, MOST_NOTICES};
 
 /// Pause after an error of the socket.
@@ -134,7 +134,7 @@
 }
 
 /// Sends a datagram; its length in bytes.
-async fn send(socket: &UdpSocket, to: SocketAddr, hello: &Hello) -> usize {
+async fn send(socket: &UdpSocket, to: SocketAddr, hello: &GossipMessage) -> usize {
     let most = match hello.covers {
         Covers::Zone => FAR_BYTES,
         Covers::Sender | Covers::Nothing => MOST_BYTES,
@@ -201,7 +201,7 @@
 }
 
 /// What this entry tells one peer now.
-fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> Hello {
+fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
     let work = work_for(entry, tell.covers, now);
     let mut book = entry.peers.borrow_mut();
     let since = book.placed_since(tell.covers, now);
@@ -216,7 +216,7 @@
         ),
         Covers::Nothing => (Vec::new(), Vec::new()),
     };
-    Hello {
+    GossipMessage {
         from: entry.id,
         number: book.next_number(now),
         echo: book.echo(tell.to),
@@ -258,7 +258,7 @@
 
 /// Takes a datagram: the peer, its proof, its version, its work and its placements. True when the
 /// peer was not known.
-fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &Hello) -> bool {
+fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &GossipMessage) -> bool {
     let now = entry.clock.now();
     let heard = entry.peers.borrow_mut().hear(from, hello, now);
     if heard.is_new {
@@ -288,7 +288,7 @@
 }
 
 /// Takes what a peer tells of work at each endpoint.
-fn take_work(entry: &Entry, hello: &Hello, now: Millis) {
+fn take_work(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let book = entry.peers.borrow();
     let (teller, lasts) = match (hello.covers, hello.zone) {
         (Covers::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
@@ -308,7 +308,7 @@
 }
 
 /// Takes note of the prompts that a peer placed.
-fn take_placements(entry: &Entry, hello: &Hello, now: Millis) {
+fn take_placements(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let directory = entry.directory();
     let mut prefixes = entry.prefixes.borrow_mut();
     let mut of_zone = entry.zone_placements.borrow_mut();
--- a/src/direct/peers/alert.rs
+++ b/src/direct/peers/alert.rs
@@ -5,7 +5,7 @@
 
 use super::MOST_BYTES;
 
-/// First byte of such a datagram; no [`super::Hello`] begins with it, since bincode never writes it first in a number.
+/// First byte of such a datagram; no [`super::GossipMessage`] begins with it, since bincode never writes it first in a number.
 const MARK: u8 = 0xff;
 
 /// Writes a datagram; `None` where there is nothing to tell.
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -33,7 +33,7 @@
 
 /// What an entry tells its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct GossipMessage {
     /// The sender.
     pub from: PeerId,
     /// Number of this datagram; rises.
@@ -76,7 +76,7 @@
 }
 
 /// Writes a datagram; `None` when that is not possible within [`MOST_BYTES`].
-pub fn encode(hello: &Hello) -> Option<Vec<u8>> {
+pub fn encode(hello: &GossipMessage) -> Option<Vec<u8>> {
     encode_within(hello, MOST_BYTES)
 }
 
@@ -85,7 +85,7 @@
 /// One that would be too long leaves out placements, then the least of the sender's work: were it not
 /// sent, peers would also miss the proof, the version and the revisions in it, and take the
 /// sender for silent.
-pub fn encode_within(hello: &Hello, most: usize) -> Option<Vec<u8>> {
+pub fn encode_within(hello: &GossipMessage, most: usize) -> Option<Vec<u8>> {
     let bytes = write(hello)?;
     if bytes.len() <= most {
         return Some(bytes);
@@ -106,12 +106,12 @@
     }
 }
 
-fn write(hello: &Hello) -> Option<Vec<u8>> {
+fn write(hello: &GossipMessage) -> Option<Vec<u8>> {
     bincode::serde::encode_to_vec(hello, bincode::config::standard()).ok()
 }
 
 /// Reads a datagram; `None` when it is not one of ours.
-pub fn decode(bytes: &[u8]) -> Option<Hello> {
+pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
     let config = bincode::config::standard().with_limit::<MOST_DECODED>();
     let (hello, read) = bincode::serde::decode_from_slice(bytes, config).ok()?;
     (read == bytes.len()).then_some(hello)
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -20,7 +20,7 @@
 
 pub use self::alert::{decode_notices, encode_notices};
 pub use self::coordinator::Coordinator;
-pub use self::hello::{decode, encode, encode_within, Covers, Hello, PeerId, MOST_BYTES};
+pub use self::hello::{decode, encode, encode_within, Covers, GossipMessage, PeerId, MOST_BYTES};
 pub use self::placements::{PlacedPrompt, RecentPlacements};
 pub use self::rounds::{Tell, FAR_BYTES, FAR_PER_ROUND, PER_ROUND, ROUND, ROUND_BYTES};
 pub use self::zones::ZoneId;
@@ -207,7 +207,7 @@
     }
 
     /// Takes a datagram.
-    pub fn hear(&mut self, from: SocketAddr, hello: &Hello, now: Millis) -> Heard {
+    pub fn hear(&mut self, from: SocketAddr, hello: &GossipMessage, now: Millis) -> Heard {
         for other in &hello.others {
             self.meet(*other, now);
         }
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-use super::{Hello, Peer, PeerBook};
+use super::{GossipMessage, Peer, PeerBook};
 use crate::clock::Millis;
 
 /// Least number of entries that watch the store for all.
@@ -86,7 +86,7 @@
 }
 
 /// Whether a peer watches the store and is not cut off from it.
-pub(super) fn is_in_touch(hello: &Hello) -> bool {
+pub(super) fn is_in_touch(hello: &GossipMessage) -> bool {
     let proof = hello.proof_age_ms.map(Millis);
     let is_proven = proof.is_some_and(|age| age < WATCHER_PROOF);
     hello.watches && (is_proven || hello.reads_large)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use violetline::direct::decision::DecisionLog;
 use violetline::direct::directory::Listed;
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, Hello, PeerId};
+use violetline::direct::peers::{Covers, GossipMessage, PeerId};
 use violetline::direct::settings::{Bounds, DirectSettings};
 use violetline::platform::Platform;
 
@@ -96,8 +96,8 @@
 }
 
 /// A datagram of an entry that tells nothing but itself.
-pub fn hello(from: u64, number: u64, echo: Option<u64>) -> Hello {
-    Hello {
+pub fn hello(from: u64, number: u64, echo: Option<u64>) -> GossipMessage {
+    GossipMessage {
         from: PeerId(from),
         number,
         echo,
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,8 +6,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, Covers, Hello, PeerBook, PeerId, PlacedPrompt, FAR_BYTES, MOST_BYTES, ROUND,
-    ROUND_BYTES,
+    encode_within, Covers, GossipMessage, PeerBook, PeerId, PlacedPrompt, FAR_BYTES, MOST_BYTES,
+    ROUND, ROUND_BYTES,
 };
 
 /// One entry: its peers, and when the newest word on each entry's work was true.
@@ -111,7 +111,7 @@
         self.lengths[kind]
     }
 
-    fn arrive(&mut self, from: usize, to: SocketAddr, hello: &Hello) {
+    fn arrive(&mut self, from: usize, to: SocketAddr, hello: &GossipMessage) {
         let now = self.now;
         let to = index(to);
         if !self.entries[to].up {
@@ -167,8 +167,8 @@
 }
 
 /// A datagram of an entry without work.
-fn bare(entry: &mut Entry, to: SocketAddr, covers: Covers, now: Millis) -> Hello {
-    Hello {
+fn bare(entry: &mut Entry, to: SocketAddr, covers: Covers, now: Millis) -> GossipMessage {
+    GossipMessage {
         from: PeerId(u64::from(entry.address.port())),
         number: entry.book.next_number(now),
         echo: entry.book.echo(to),
@@ -192,7 +192,7 @@
 }
 
 /// A datagram of a busy entry: work at some endpoints, or at 100 of the zone, and placements.
-fn busy(entry: &mut Entry, to: SocketAddr, covers: Covers, busy_at: u32) -> Hello {
+fn busy(entry: &mut Entry, to: SocketAddr, covers: Covers, busy_at: u32) -> GossipMessage {
     let work = Work {
         running: 2,
         unread: [0, 2_000, 7_000],
@@ -209,7 +209,7 @@
         part: 1 << 47,
         endpoint: u32::MAX,
     };
-    Hello {
+    GossipMessage {
         work: (0..endpoints).map(|i| (u32::MAX - i, work)).collect(),
         placed: vec![placed; prompts],
         ..bare(entry, to, covers, Millis(0))
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -9,7 +9,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    self, Hello, PeerBook, PeerId, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND, ROUND,
+    self, GossipMessage, PeerBook, PeerId, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND,
+    ROUND,
 };
 
 fn address(i: u8) -> SocketAddr {
@@ -192,7 +193,7 @@
 #[test]
 fn large_answer_excuses() {
     let mut book = PeerBook::new(address(1), &[], 1);
-    let message = |from: u64, reads_large| Hello {
+    let message = |from: u64, reads_large| GossipMessage {
         watches: true,
         proof_age_ms: Some(2_000),
         link_mbps: 10,
@@ -352,7 +353,7 @@
 fn proof_source_watches() {
     let mut book = PeerBook::new(address(1), &[], 1);
     assert_eq!(book.proof_source(3), None);
-    let watching = |from| Hello {
+    let watching = |from| GossipMessage {
         watches: true,
         proof_age_ms: Some(300),
         ..hello(from, 1, None)
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -9,7 +9,7 @@
 use violetline::direct::channel::Failure;
 use violetline::direct::directory::{Change, Listed};
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, Hello, PeerId};
+use violetline::direct::peers::{Covers, GossipMessage, PeerId};
 use violetline::direct::sync::{until_question, CallError};
 
 fn asks_again(entry: &Entry) -> bool {
@@ -258,8 +258,8 @@
 }
 
 /// What an entry with a wide link tells that watches the store.
-fn watching_peer(id: u64) -> Hello {
-    Hello {
+fn watching_peer(id: u64) -> GossipMessage {
+    GossipMessage {
         from: PeerId(id),
         number: 1,
         echo: None,
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::peers::{self, Hello, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{self, GossipMessage, PeerBook, ZoneId, ROUND};
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
 
@@ -119,8 +119,8 @@
     ([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000).into()
 }
 
-fn hello(zone: usize, zone_entries: u32) -> Hello {
-    Hello {
+fn hello(zone: usize, zone_entries: u32) -> GossipMessage {
+    GossipMessage {
         proof_age_ms: Some(0),
         zone: ZoneId::of(&format!("zone-{zone}")),
         zone_entries,
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -6,7 +6,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Allowance, Given, Limits, Step, Target};
-use violetline::direct::peers::{Coordinator, Hello, PeerBook, ZoneId};
+use violetline::direct::peers::{Coordinator, GossipMessage, PeerBook, ZoneId};
 use violetline::rate::Rate;
 
 const TARGET: Target = Target {
@@ -169,7 +169,7 @@
         let mut book = PeerBook::new(address(i), &[], i as u32);
         book.set_zone(zones[i]);
         for (peer, zone) in zones.iter().enumerate().filter(|(peer, _)| *peer != i) {
-            let hello = Hello {
+            let hello = GossipMessage {
                 zone: ZoneId::of(zone),
                 ..hello(peer as u64, 1, None)
             };
@@ -200,7 +200,7 @@
     }
     // The entry of the zone falls silent.
     for (i, peer) in [(0, 2), (2, 0)] {
-        let hello = Hello {
+        let hello = GossipMessage {
             zone: ZoneId::of(zones[peer]),
             ..hello(peer as u64, 2, None)
         };
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -11,7 +11,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
-use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerBook, ZoneId, ROUND};
 use violetline::rate::Rate;
 
 pub use self::day::{Day, Traffic, Trouble};
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone)]
 enum Event {
     Round(usize),
-    Hello(usize, usize, Box<Hello>),
+    GossipMessage(usize, usize, Box<GossipMessage>),
     Limits(usize, usize, Message),
     /// A caller's request comes, or looks again.
     Asks(Asked),
@@ -183,7 +183,7 @@
 
     fn happens(&mut self, event: Event) {
         let of = match &event {
-            Event::Round(i) | Event::Hello(i, ..) | Event::Limits(i, ..) => Some(*i),
+            Event::Round(i) | Event::GossipMessage(i, ..) | Event::Limits(i, ..) => Some(*i),
             Event::TimeOver(i, ..) | Event::Answered(i, ..) => Some(*i),
             Event::Waited(asked) => Some(asked.entry),
             _ => None,
@@ -194,7 +194,7 @@
         }
         match event {
             Event::Round(i) => self.round(i),
-            Event::Hello(i, from, hello) => self.hear(i, from, &hello),
+            Event::GossipMessage(i, from, hello) => self.hear(i, from, &hello),
             Event::Limits(i, from, message) => self.take(i, from, message),
             Event::Asks(asked) => self.asks(asked),
             Event::Waited(asked) => {
@@ -245,7 +245,7 @@
             let bytes = HELLO_BYTES[usize::from(tell.covers == Covers::Zone)];
             self.members[i].book.sent_bytes(tell.covers, bytes);
             if self.passes(i, to) {
-                self.at(self.now + WAY, Event::Hello(to, i, Box::new(hello)));
+                self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
             }
             let since = self.members[i].book.notices_since(tell.covers, now);
             let news = self.members[i].limits.news(since, now);
@@ -255,7 +255,7 @@
         }
     }
 
-    fn hello(&mut self, i: usize, to: SocketAddr, covers: Covers) -> Hello {
+    fn hello(&mut self, i: usize, to: SocketAddr, covers: Covers) -> GossipMessage {
         let now = self.time();
         let member = &mut self.members[i];
         let number = member.book.next_number(now);
@@ -269,7 +269,7 @@
             Covers::Zone => member.book.zone_entries(now),
             Covers::Sender | Covers::Nothing => 1,
         };
-        Hello {
+        GossipMessage {
             leaving: member.is_leaving,
             zone: member.book.zone(),
             zone_entries,
@@ -298,7 +298,7 @@
         }
     }
 
-    fn hear(&mut self, i: usize, from: usize, hello: &Hello) {
+    fn hear(&mut self, i: usize, from: usize, hello: &GossipMessage) {
         if self.members[i].is_up {
             let now = self.time();
             self.members[i].book.hear(address(from), hello, now);
@@ -531,7 +531,7 @@
     book.set_zone(&format!("zone-{}", i % day.zones));
     let others = (0..day.entries).filter(|peer| *peer != i && life == 0);
     for peer in others {
-        let hello = Hello {
+        let hello = GossipMessage {
             zone: ZoneId::of(&format!("zone-{}", peer % day.zones)),
             zone_entries: (day.entries / day.zones) as u32,
             ..common::hello(peer as u64, 0, None)
