--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -3,7 +3,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Target};
-use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerBook, PeerId, ZoneId};
+use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerId, PeerTable, ZoneId};
 use violetline::rate::Rate;
 
 const NOW: Millis = Millis(5_000);
@@ -17,9 +17,9 @@
 }
 
 /// The book of one of 450 entries in twelve zones that hear each other.
-fn book() -> PeerBook {
+fn book() -> PeerTable {
     let address = |i: usize| ([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000).into();
-    let mut book = PeerBook::new(address(0), &[], 1);
+    let mut book = PeerTable::new(address(0), &[], 1);
     book.set_zone("zone-0");
     for peer in 1..450 {
         let hello = GossipMessage {
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -28,7 +28,7 @@
 use crate::direct::freshness::Freshness;
 use crate::direct::gauge::Gauges;
 use crate::direct::limits::Limits;
-use crate::direct::peers::{PeerBook, PeerId, RecentPlacements};
+use crate::direct::peers::{PeerId, PeerTable, RecentPlacements};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::settings::DirectSettings;
 use crate::direct::turnover::Turnover;
@@ -72,7 +72,7 @@
     /// Counters.
     pub gauges: Gauges,
     /// Other entries.
-    pub peers: RefCell<PeerBook>,
+    pub peers: RefCell<PeerTable>,
     /// What endpoints keep of prompts.
     pub prefixes: RefCell<PrefixMap>,
     /// Prompts placed lately, for peers.
@@ -149,7 +149,7 @@
         clock: Clock,
         log: DecisionLog,
     ) -> Rc<Self> {
-        let mut peers = PeerBook::new(settings.link, &settings.seeds, rand::random());
+        let mut peers = PeerTable::new(settings.link, &settings.seeds, rand::random());
         peers.set_link(settings.link_mbps);
         peers.set_zone(&settings.zone);
         Rc::new(Self {
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use super::{Peer, PeerBook, ZoneId};
+use super::{Peer, PeerTable, ZoneId};
 use crate::clock::Millis;
 use crate::spread::spread;
 
@@ -52,7 +52,7 @@
     Silent,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// The coordinator of an endpoint in a zone, at an entry that runs since `started`. Among the entries of another zone those
     /// that `is_unanswered` are passed over; that never makes this entry the coordinator.
     pub fn coordinator(
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -63,7 +63,7 @@
 
 /// All peers of one entry.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerTable {
     own: SocketAddr,
     /// Bandwidth of the own link, in Mbit/s; 0 where it is not known.
     link_mbps: u32,
@@ -107,7 +107,7 @@
     changed: Millis,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// A book that holds the seeds.
     ///
     /// Numbers begin at a random one, so that an echo of an earlier life of this process is not
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Covers, Peer, PeerBook};
+use super::{Covers, Peer, PeerTable};
 use crate::clock::Millis;
 
 /// Time between two rounds of datagrams.
@@ -53,7 +53,7 @@
     pub covers: Covers,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// The peers to tell in this round; `watches` says whether this entry watches the store.
     pub fn round(&mut self, watches: bool, now: Millis) -> Vec<Tell> {
         self.forget_silent(now);
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-use super::{GossipMessage, Peer, PeerBook};
+use super::{GossipMessage, Peer, PeerTable};
 use crate::clock::Millis;
 
 /// Least number of entries that watch the store for all.
@@ -23,7 +23,7 @@
 /// Rounds through all peers in which a watcher must be heard.
 const WATCHER_CYCLES: u64 = 2;
 
-impl PeerBook {
+impl PeerTable {
     /// Whether this entry is to watch the store: too few of those that come before it in an order
     /// that all entries compute alike are known to do so.
     pub fn is_watcher(&self, now: Millis) -> bool {
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,7 +6,7 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, Covers, GossipMessage, PeerBook, PeerId, PlacedPrompt, FAR_BYTES, MOST_BYTES,
+    encode_within, Covers, GossipMessage, PeerId, PeerTable, PlacedPrompt, FAR_BYTES, MOST_BYTES,
     ROUND, ROUND_BYTES,
 };
 
@@ -14,7 +14,7 @@
 struct Entry {
     address: SocketAddr,
     zone: usize,
-    book: PeerBook,
+    book: PeerTable,
     known: Vec<Option<Millis>>,
     up: bool,
     /// Bytes and datagrams of its last round.
@@ -50,7 +50,7 @@
     fn new(count: usize, zones: usize) -> Self {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let entry = |i: usize| {
-            let mut book = PeerBook::new(address(i), &seeds, (i * 7_919) as u32);
+            let mut book = PeerTable::new(address(i), &seeds, (i * 7_919) as u32);
             book.set_zone(&format!("zone-{}", i % zones));
             Entry {
                 address: address(i),
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -9,7 +9,7 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    self, GossipMessage, PeerBook, PeerId, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND,
+    self, GossipMessage, PeerId, PeerTable, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND,
     ROUND,
 };
 
@@ -19,7 +19,7 @@
 
 /// A network of books in which datagrams arrive at once, except to and from those that are down.
 struct Network {
-    books: BTreeMap<SocketAddr, PeerBook>,
+    books: BTreeMap<SocketAddr, PeerTable>,
     down: Vec<SocketAddr>,
     /// Those that the store does not answer, so that their proof is old.
     cut_off: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
 
 impl Network {
     fn new(count: u8, seeds: &[SocketAddr]) -> Self {
-        let book = |i| (address(i), PeerBook::new(address(i), seeds, u32::from(i)));
+        let book = |i| (address(i), PeerTable::new(address(i), seeds, u32::from(i)));
         Self {
             books: (1..=count).map(book).collect(),
             down: Vec::new(),
@@ -192,7 +192,7 @@
 /// A watcher whose proof waits for a large answer is not cut off.
 #[test]
 fn large_answer_excuses() {
-    let mut book = PeerBook::new(address(1), &[], 1);
+    let mut book = PeerTable::new(address(1), &[], 1);
     let message = |from: u64, reads_large| GossipMessage {
         watches: true,
         proof_age_ms: Some(2_000),
@@ -223,7 +223,7 @@
 
 #[test]
 fn echo_dates_question() {
-    let mut book = PeerBook::new(address(1), &[address(2)], 7);
+    let mut book = PeerTable::new(address(1), &[address(2)], 7);
     let number = book.next_number(Millis(500));
     let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(900));
     assert_eq!(heard.asked, Some(Millis(500)));
@@ -236,9 +236,9 @@
 /// An echo of a number from an earlier life of this process dates nothing.
 #[test]
 fn earlier_life_echo() {
-    let mut earlier = PeerBook::new(address(1), &[], 7);
+    let mut earlier = PeerTable::new(address(1), &[], 7);
     let number = earlier.next_number(Millis(500));
-    let mut book = PeerBook::new(address(1), &[], 8);
+    let mut book = PeerTable::new(address(1), &[], 8);
     book.next_number(Millis(10));
     let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(20));
     assert_eq!(heard.asked, None);
@@ -246,7 +246,7 @@
 
 #[test]
 fn restarted_peer() {
-    let mut book = PeerBook::new(address(1), &[], 1);
+    let mut book = PeerTable::new(address(1), &[], 1);
     assert!(book.hear(address(2), &hello(2, 9, None), Millis(10)).is_new);
     assert!(book.hear(address(2), &hello(3, 1, None), Millis(20)).is_new);
     assert_eq!(book.echo(address(2)), Some(1));
@@ -255,7 +255,7 @@
 /// A datagram that was overtaken changes nothing.
 #[test]
 fn overtaken_datagram() {
-    let mut book = PeerBook::new(address(1), &[], 1);
+    let mut book = PeerTable::new(address(1), &[], 1);
     book.hear(address(2), &hello(2, 9, None), Millis(10));
     book.hear(address(2), &hello(2, 8, None), Millis(20));
     assert_eq!(book.echo(address(2)), Some(9));
@@ -351,7 +351,7 @@
 /// An entry asks for a proof where the store is watched, in its own cell first.
 #[test]
 fn proof_source_watches() {
-    let mut book = PeerBook::new(address(1), &[], 1);
+    let mut book = PeerTable::new(address(1), &[], 1);
     assert_eq!(book.proof_source(3), None);
     let watching = |from| GossipMessage {
         watches: true,
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::peers::{self, GossipMessage, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND};
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
 
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 pub struct Member {
-    book: PeerBook,
+    book: PeerTable,
     pub quarantine: Quarantine,
     bytes: Vec<u64>,
     is_telling: bool,
@@ -408,7 +408,7 @@
     }: Day,
     zones: usize,
 ) -> Member {
-    let mut book = PeerBook::new(address(i), &[], i as u32);
+    let mut book = PeerTable::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoints(engines);
     book.set_zone(&format!("zone-{}", i % zones));
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -6,7 +6,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Allowance, Given, Limits, Step, Target};
-use violetline::direct::peers::{Coordinator, GossipMessage, PeerBook, ZoneId};
+use violetline::direct::peers::{Coordinator, GossipMessage, PeerTable, ZoneId};
 use violetline::rate::Rate;
 
 const TARGET: Target = Target {
@@ -163,10 +163,10 @@
 }
 
 /// Books of three entries, one in each of two zones and one more, that hear each other at a time.
-fn books(zones: &[&str], now: Millis) -> Vec<PeerBook> {
+fn books(zones: &[&str], now: Millis) -> Vec<PeerTable> {
     let address = |i: usize| ([10, 0, 0, i as u8], 7_000).into();
     let member = |i: usize| {
-        let mut book = PeerBook::new(address(i), &[], i as u32);
+        let mut book = PeerTable::new(address(i), &[], i as u32);
         book.set_zone(zones[i]);
         for (peer, zone) in zones.iter().enumerate().filter(|(peer, _)| *peer != i) {
             let hello = GossipMessage {
@@ -187,7 +187,7 @@
 fn one_coordinator() {
     let zones = ["a", "b", "c"];
     let mut books = books(&zones, Millis(5_000));
-    let by = |books: &[PeerBook], i: usize, endpoint, now| {
+    let by = |books: &[PeerTable], i: usize, endpoint, now| {
         books[i].coordinator(endpoint, ZoneId::of("b"), Millis(0), Millis(now), |_| false)
     };
     for endpoint in 0..20 {
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -11,7 +11,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
-use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerTable, ZoneId, ROUND};
 use violetline::rate::Rate;
 
 pub use self::day::{Day, Traffic, Trouble};
@@ -71,7 +71,7 @@
 }
 
 struct Member {
-    book: PeerBook,
+    book: PeerTable,
     limits: Limits,
     life: u32,
     is_up: bool,
@@ -527,7 +527,7 @@
         .filter(|seed| *seed != i)
         .map(address)
         .collect();
-    let mut book = PeerBook::new(address(i), &seeds, (life << 16) + i as u32);
+    let mut book = PeerTable::new(address(i), &seeds, (life << 16) + i as u32);
     book.set_zone(&format!("zone-{}", i % day.zones));
     let others = (0..day.entries).filter(|peer| *peer != i && life == 0);
     for peer in others {
