--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -3,7 +3,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Target};
-use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerId, PeerTable, ZoneId};
+use violetline::direct::peers::{Coordinator, GossipMessage, PeerId, PeerTable, WorkScope, ZoneId};
 use violetline::rate::Rate;
 
 const NOW: Millis = Millis(5_000);
@@ -39,7 +39,7 @@
             zone_entries: 37,
             asks: false,
             others: Vec::new(),
-            covers: Covers::Sender,
+            work_scope: WorkScope::Sender,
             work: Vec::new(),
             placed: Vec::new(),
         };
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -13,7 +13,7 @@
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
-use crate::direct::peers::{self, Covers, GossipMessage, Tell, FAR_BYTES, MOST_BYTES, ROUND};
+use crate::direct::peers::{self, GossipMessage, Tell, WorkScope, FAR_BYTES, MOST_BYTES, ROUND};
 use crate::quarantine::{Notice, MOST_NOTICES};
 
 /// Pause after an error of the socket.
@@ -54,8 +54,8 @@
         for tell in round {
             let hello = hello_for(&entry, tell, now);
             let bytes = send(&socket, tell.to, &hello).await;
-            entry.peers.borrow_mut().sent_bytes(tell.covers, bytes);
-            let since = entry.peers.borrow().notices_since(tell.covers, now);
+            entry.peers.borrow_mut().sent_bytes(tell.work_scope, bytes);
+            let since = entry.peers.borrow().notices_since(tell.work_scope, now);
             send_notices(&entry, &socket, tell.to, since, repeats).await;
             tell_limits(&entry, tell.to, since);
         }
@@ -125,7 +125,7 @@
     if let Some(to) = source {
         let tell = Tell {
             to,
-            covers: Covers::Nothing,
+            work_scope: WorkScope::Nothing,
         };
         let mut hello = hello_for(entry, tell, now);
         hello.asks = true;
@@ -135,9 +135,9 @@
 
 /// Sends a datagram; its length in bytes.
 async fn send(socket: &UdpSocket, to: SocketAddr, hello: &GossipMessage) -> usize {
-    let most = match hello.covers {
-        Covers::Zone => FAR_BYTES,
-        Covers::Sender | Covers::Nothing => MOST_BYTES,
+    let most = match hello.work_scope {
+        WorkScope::Zone => FAR_BYTES,
+        WorkScope::Sender | WorkScope::Nothing => MOST_BYTES,
     };
     let Some(bytes) = peers::encode_within(hello, most) else {
         tracing::warn!(work = hello.work.len(), "datagram too long, not sent");
@@ -194,7 +194,7 @@
 async fn answer(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
     let tell = Tell {
         to,
-        covers: Covers::Nothing,
+        work_scope: WorkScope::Nothing,
     };
     let hello = hello_for(entry, tell, entry.clock.now());
     send(socket, to, &hello).await;
@@ -202,19 +202,19 @@
 
 /// What this entry tells one peer now.
 fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
-    let work = work_for(entry, tell.covers, now);
+    let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
-    let since = book.placed_since(tell.covers, now);
-    let (placed, others) = match tell.covers {
-        Covers::Sender => (
+    let since = book.placed_since(tell.work_scope, now);
+    let (placed, others) = match tell.work_scope {
+        WorkScope::Sender => (
             entry.placements.borrow().since(since, OWN_PLACED),
             book.others(tell.to, now),
         ),
-        Covers::Zone => (
+        WorkScope::Zone => (
             entry.zone_placements.borrow().since(since, ZONE_PLACED),
             book.others(tell.to, now),
         ),
-        Covers::Nothing => (Vec::new(), Vec::new()),
+        WorkScope::Nothing => (Vec::new(), Vec::new()),
     };
     GossipMessage {
         from: entry.id,
@@ -233,18 +233,18 @@
         zone_entries: book.zone_entries(now),
         asks: false,
         others,
-        covers: tell.covers,
+        work_scope: tell.work_scope,
         work,
         placed,
     }
 }
 
 /// The work that a datagram tells, by the digests of the endpoints.
-fn work_for(entry: &Entry, covers: Covers, now: Millis) -> Vec<(u32, Work)> {
-    let of = |load: &Load| match covers {
-        Covers::Sender => load.own(now),
-        Covers::Zone => load.of_cell(now),
-        Covers::Nothing => Work::default(),
+fn work_for(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, Work)> {
+    let of = |load: &Load| match work_scope {
+        WorkScope::Sender => load.own(now),
+        WorkScope::Zone => load.of_cell(now),
+        WorkScope::Nothing => Work::default(),
     };
     let directory = entry.directory();
     let accounts = entry.accounts();
@@ -290,10 +290,10 @@
 /// Takes what a peer tells of work at each endpoint.
 fn take_work(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let book = entry.peers.borrow();
-    let (teller, lasts) = match (hello.covers, hello.zone) {
-        (Covers::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
-        (Covers::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_word(now)),
-        (Covers::Zone, None) | (Covers::Nothing, _) => return,
+    let (teller, lasts) = match (hello.work_scope, hello.zone) {
+        (WorkScope::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
+        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_word(now)),
+        (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
     let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
     let directory = entry.directory();
@@ -316,7 +316,7 @@
         if let Some(key) = directory.by_digest(placed.endpoint) {
             prefixes.note(key, std::iter::once(placed.part), now, now);
         }
-        if hello.covers == Covers::Sender {
+        if hello.work_scope == WorkScope::Sender {
             of_zone.hear(*placed, now);
         }
     }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -22,7 +22,7 @@
 
 /// Whose work a datagram tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Covers {
+pub enum WorkScope {
     /// The sender's own; nothing is told of others.
     Sender,
     /// That of all entries of the sender's availability zone, as far as it hears them.
@@ -67,7 +67,7 @@
     /// Addresses of some entries.
     pub others: Vec<SocketAddr>,
     /// Whose work follows.
-    pub covers: Covers,
+    pub work_scope: WorkScope,
     /// Work at endpoints, by the digest of their identity; those at rest are left out.
     #[serde(with = "compact")]
     pub work: Vec<(u32, Work)>,
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -20,7 +20,9 @@
 
 pub use self::alert::{decode_notices, encode_notices};
 pub use self::coordinator::Coordinator;
-pub use self::hello::{decode, encode, encode_within, Covers, GossipMessage, PeerId, MOST_BYTES};
+pub use self::hello::{
+    decode, encode, encode_within, GossipMessage, PeerId, WorkScope, MOST_BYTES,
+};
 pub use self::placements::{PlacedPrompt, RecentPlacements};
 pub use self::rounds::{Tell, FAR_BYTES, FAR_PER_ROUND, PER_ROUND, ROUND, ROUND_BYTES};
 pub use self::zones::ZoneId;
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Covers, Peer, PeerTable};
+use super::{Peer, PeerTable, WorkScope};
 use crate::clock::Millis;
 
 /// Time between two rounds of datagrams.
@@ -50,7 +50,7 @@
     /// The receiver.
     pub to: SocketAddr,
     /// Whose work it is told.
-    pub covers: Covers,
+    pub work_scope: WorkScope,
 }
 
 impl PeerTable {
@@ -60,27 +60,27 @@
         let near = self.addresses(|book, peer| book.is_near(peer));
         let far = self.addresses(|book, peer| !book.is_near(peer));
         (self.near_count, self.far_count) = (near.len(), far.len());
-        let tells = |covers| move |to| Tell { to, covers };
+        let tells = |work_scope| move |to| Tell { to, work_scope };
         let most = self.near_per_round();
         let told = take_turn(&near, &mut self.near_turn, most);
-        let mut round: Vec<Tell> = told.into_iter().map(tells(Covers::Sender)).collect();
+        let mut round: Vec<Tell> = told.into_iter().map(tells(WorkScope::Sender)).collect();
         let told = take_turn(&far, &mut self.far_turn, FAR_PER_ROUND);
-        round.extend(told.into_iter().map(tells(Covers::Zone)));
+        round.extend(told.into_iter().map(tells(WorkScope::Zone)));
         if watches {
             // Proofs pass between the zones' watchers, so that the store is asked once for all.
             let watchers = self.addresses(|book, peer| peer.watches && !book.is_near(peer));
             let told = take_turn(&watchers, &mut self.watcher_turn, WATCHERS_TOLD);
-            round.extend(told.into_iter().map(tells(Covers::Nothing)));
+            round.extend(told.into_iter().map(tells(WorkScope::Nothing)));
         }
         round
     }
 
     /// A datagram of a round took this many bytes; the next rounds keep the bound.
-    pub fn sent_bytes(&mut self, covers: Covers, bytes: usize) {
-        match covers {
-            Covers::Sender => self.near_bytes = mean_bytes(self.near_bytes, bytes),
-            Covers::Zone => self.far_bytes = mean_bytes(self.far_bytes, bytes),
-            Covers::Nothing => {}
+    pub fn sent_bytes(&mut self, work_scope: WorkScope, bytes: usize) {
+        match work_scope {
+            WorkScope::Sender => self.near_bytes = mean_bytes(self.near_bytes, bytes),
+            WorkScope::Zone => self.far_bytes = mean_bytes(self.far_bytes, bytes),
+            WorkScope::Nothing => {}
         }
     }
 
@@ -93,23 +93,23 @@
 
     /// Time since which placements are told: some turns, so that lost datagrams are made up for. In a
     /// fleet of one cell all that are remembered: nobody passes them on, and parts of prompts would be read again.
-    pub fn placed_since(&self, covers: Covers, now: Millis) -> Millis {
+    pub fn placed_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
         if self.far_count == 0 {
             return Millis(0);
         }
-        let turn = match covers {
-            Covers::Sender | Covers::Nothing => self.near_cycle(),
-            Covers::Zone => self.near_cycle() + self.zone_interval(now),
+        let turn = match work_scope {
+            WorkScope::Sender | WorkScope::Nothing => self.near_cycle(),
+            WorkScope::Zone => self.near_cycle() + self.zone_interval(now),
         };
         now - Millis(turn.0 * PLACED_TURNS)
     }
 
     /// Time since which what was learned of requests under suspicion is told in a round: two turns, so that a lost datagram
     /// is made up for. Peers pass it on in theirs.
-    pub fn notices_since(&self, covers: Covers, now: Millis) -> Millis {
-        let turn = match covers {
-            Covers::Sender | Covers::Nothing => self.near_cycle(),
-            Covers::Zone => self.near_cycle() + self.zone_interval(now),
+    pub fn notices_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
+        let turn = match work_scope {
+            WorkScope::Sender | WorkScope::Nothing => self.near_cycle(),
+            WorkScope::Zone => self.near_cycle() + self.zone_interval(now),
         };
         now - Millis(turn.0.max(ROUND.0) * NOTICE_TURNS)
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use violetline::direct::decision::DecisionLog;
 use violetline::direct::directory::Listed;
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, GossipMessage, PeerId};
+use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::settings::{Bounds, DirectSettings};
 use violetline::platform::Platform;
 
@@ -114,7 +114,7 @@
         zone_entries: 1,
         asks: false,
         others: Vec::new(),
-        covers: Covers::Sender,
+        work_scope: WorkScope::Sender,
         work: Vec::new(),
         placed: Vec::new(),
     }
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,8 +6,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, Covers, GossipMessage, PeerId, PeerTable, PlacedPrompt, FAR_BYTES, MOST_BYTES,
-    ROUND, ROUND_BYTES,
+    encode_within, GossipMessage, PeerId, PeerTable, PlacedPrompt, WorkScope, FAR_BYTES,
+    MOST_BYTES, ROUND, ROUND_BYTES,
 };
 
 /// One entry: its peers, and when the newest word on each entry's work was true.
@@ -88,24 +88,24 @@
         let round = entry.book.round(false, now);
         entry.sent = (0, round.len());
         for tell in round {
-            let bytes = self.bytes(from, tell.to, tell.covers);
-            let hello = bare(&mut self.entries[from], tell.to, tell.covers, now);
+            let bytes = self.bytes(from, tell.to, tell.work_scope);
+            let hello = bare(&mut self.entries[from], tell.to, tell.work_scope, now);
             let entry = &mut self.entries[from];
             entry.sent.0 += bytes;
-            entry.book.sent_bytes(tell.covers, bytes);
+            entry.book.sent_bytes(tell.work_scope, bytes);
             self.arrive(from, tell.to, &hello);
         }
     }
 
     /// Length of a datagram; all of one kind are about as long.
-    fn bytes(&mut self, from: usize, to: SocketAddr, covers: Covers) -> usize {
-        let (kind, most) = match covers {
-            Covers::Sender => (0, MOST_BYTES),
-            Covers::Zone => (1, FAR_BYTES),
-            Covers::Nothing => (2, MOST_BYTES),
+    fn bytes(&mut self, from: usize, to: SocketAddr, work_scope: WorkScope) -> usize {
+        let (kind, most) = match work_scope {
+            WorkScope::Sender => (0, MOST_BYTES),
+            WorkScope::Zone => (1, FAR_BYTES),
+            WorkScope::Nothing => (2, MOST_BYTES),
         };
         if self.lengths[kind] == 0 {
-            let hello = busy(&mut self.entries[from], to, covers, self.busy_at);
+            let hello = busy(&mut self.entries[from], to, work_scope, self.busy_at);
             self.lengths[kind] = encode_within(&hello, most).unwrap().len();
         }
         self.lengths[kind]
@@ -121,10 +121,10 @@
         if self.cut.contains(&way) {
             return;
         }
-        let told: Vec<(usize, Option<Millis>)> = match hello.covers {
-            Covers::Sender => vec![(from, Some(now))],
-            Covers::Zone => self.of_zone(from),
-            Covers::Nothing => Vec::new(),
+        let told: Vec<(usize, Option<Millis>)> = match hello.work_scope {
+            WorkScope::Sender => vec![(from, Some(now))],
+            WorkScope::Zone => self.of_zone(from),
+            WorkScope::Nothing => Vec::new(),
         };
         let receiver = &mut self.entries[to];
         let heard = receiver.book.hear(address(from), hello, now);
@@ -132,7 +132,7 @@
             receiver.known[i] = receiver.known[i].max(at);
         }
         if heard.is_new {
-            let answer = bare(receiver, address(from), Covers::Nothing, now);
+            let answer = bare(receiver, address(from), WorkScope::Nothing, now);
             self.arrive(to, address(from), &answer);
         }
     }
@@ -167,7 +167,7 @@
 }
 
 /// A datagram of an entry without work.
-fn bare(entry: &mut Entry, to: SocketAddr, covers: Covers, now: Millis) -> GossipMessage {
+fn bare(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, now: Millis) -> GossipMessage {
     GossipMessage {
         from: PeerId(u64::from(entry.address.port())),
         number: entry.book.next_number(now),
@@ -185,14 +185,14 @@
         zone_entries: entry.book.zone_entries(now),
         asks: false,
         others: entry.book.others(to, now),
-        covers,
+        work_scope,
         work: Vec::new(),
         placed: Vec::new(),
     }
 }
 
 /// A datagram of a busy entry: work at some endpoints, or at 100 of the zone, and placements.
-fn busy(entry: &mut Entry, to: SocketAddr, covers: Covers, busy_at: u32) -> GossipMessage {
+fn busy(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, busy_at: u32) -> GossipMessage {
     let work = Work {
         running: 2,
         unread: [0, 2_000, 7_000],
@@ -200,10 +200,10 @@
         delicate: 150,
         pressure: 30_000,
     };
-    let (endpoints, prompts) = match covers {
-        Covers::Sender => (busy_at, 8),
-        Covers::Zone => (100, 24),
-        Covers::Nothing => (0, 0),
+    let (endpoints, prompts) = match work_scope {
+        WorkScope::Sender => (busy_at, 8),
+        WorkScope::Zone => (100, 24),
+        WorkScope::Nothing => (0, 0),
     };
     let placed = PlacedPrompt {
         part: 1 << 47,
@@ -212,7 +212,7 @@
     GossipMessage {
         work: (0..endpoints).map(|i| (u32::MAX - i, work)).collect(),
         placed: vec![placed; prompts],
-        ..bare(entry, to, covers, Millis(0))
+        ..bare(entry, to, work_scope, Millis(0))
     }
 }
 
@@ -334,7 +334,7 @@
         fleet.rounds(60);
         let since = fleet.entries[0]
             .book
-            .placed_since(Covers::Sender, fleet.now);
+            .placed_since(WorkScope::Sender, fleet.now);
         if count <= 8 {
             assert_eq!(since, Millis(0), "{count}");
         } else {
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -9,7 +9,7 @@
 use violetline::direct::channel::Failure;
 use violetline::direct::directory::{Change, Listed};
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, GossipMessage, PeerId};
+use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::sync::{until_question, CallError};
 
 fn asks_again(entry: &Entry) -> bool {
@@ -276,7 +276,7 @@
         zone_entries: 1,
         asks: false,
         others: Vec::new(),
-        covers: Covers::Sender,
+        work_scope: WorkScope::Sender,
         work: Vec::new(),
         placed: Vec::new(),
     }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -229,7 +229,7 @@
         let round = self.members[i].book.round(false, now);
         let repeats = self.rng.gen_ratio(48, 256);
         for tell in round {
-            let since = self.members[i].book.notices_since(tell.covers, now);
+            let since = self.members[i].book.notices_since(tell.work_scope, now);
             self.send_notices(i, tell.to, since, repeats);
         }
     }
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -11,7 +11,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
-use violetline::direct::peers::{Coordinator, Covers, GossipMessage, PeerTable, ZoneId, ROUND};
+use violetline::direct::peers::{Coordinator, GossipMessage, PeerTable, WorkScope, ZoneId, ROUND};
 use violetline::rate::Rate;
 
 pub use self::day::{Day, Traffic, Trouble};
@@ -241,13 +241,13 @@
         member.limits.round(is_own, now);
         for tell in self.members[i].book.round(false, now) {
             let to = self.by_address[&tell.to];
-            let hello = self.hello(i, tell.to, tell.covers);
-            let bytes = HELLO_BYTES[usize::from(tell.covers == Covers::Zone)];
-            self.members[i].book.sent_bytes(tell.covers, bytes);
+            let hello = self.hello(i, tell.to, tell.work_scope);
+            let bytes = HELLO_BYTES[usize::from(tell.work_scope == WorkScope::Zone)];
+            self.members[i].book.sent_bytes(tell.work_scope, bytes);
             if self.passes(i, to) {
                 self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
             }
-            let since = self.members[i].book.notices_since(tell.covers, now);
+            let since = self.members[i].book.notices_since(tell.work_scope, now);
             let news = self.members[i].limits.news(since, now);
             if !news.is_empty() {
                 self.send(i, to, Message::Told(news));
@@ -255,7 +255,7 @@
         }
     }
 
-    fn hello(&mut self, i: usize, to: SocketAddr, covers: Covers) -> GossipMessage {
+    fn hello(&mut self, i: usize, to: SocketAddr, work_scope: WorkScope) -> GossipMessage {
         let now = self.time();
         let member = &mut self.members[i];
         let number = member.book.next_number(now);
@@ -265,16 +265,16 @@
             true => member.book.others(to, now),
             false => Vec::new(),
         };
-        let zone_entries = match covers {
-            Covers::Zone => member.book.zone_entries(now),
-            Covers::Sender | Covers::Nothing => 1,
+        let zone_entries = match work_scope {
+            WorkScope::Zone => member.book.zone_entries(now),
+            WorkScope::Sender | WorkScope::Nothing => 1,
         };
         GossipMessage {
             leaving: member.is_leaving,
             zone: member.book.zone(),
             zone_entries,
             others,
-            covers,
+            work_scope,
             ..common::hello(u64::from(member.life) << 32 | i as u64, number, None)
         }
     }
