--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -5,7 +5,7 @@
 use violetline::direct::catalog::{EngineShape, MoveShape};
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand};
-use violetline::direct::directory::{Change, Directory, Listed};
+use violetline::direct::directory::{Change, Directory, ListedEndpoint};
 use violetline::direct::health::Record;
 use violetline::direct::load::Load;
 use violetline::direct::prefix::{Part, PrefixMap};
@@ -17,8 +17,8 @@
     divan::main();
 }
 
-fn listed(n: usize) -> Listed {
-    Listed {
+fn listed(n: usize) -> ListedEndpoint {
+    ListedEndpoint {
         id: format!("i-{n}"),
         pool: "pool".into(),
         address: ([10, 0, 0, 1], 9_000).into(),
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -13,7 +13,7 @@
 use crate::announced::{is_other_life, Announced, Announcement, FormerLives, Unwilling};
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
-pub use crate::direct::listed::{Change, Cordon, Listed, Listing, Revision};
+pub use crate::direct::listed::{Change, Cordon, ListedEndpoint, Listing, Revision};
 
 /// Time after the list's return within which live endpoints have written their entries again;
 /// the platform gives them about two seconds.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     /// Its newest entry.
-    pub listed: Listed,
+    pub listed: ListedEndpoint,
     /// Whether it takes new work.
     pub standing: Standing,
     /// Digest of this life of it, for messages between entries.
@@ -368,7 +368,7 @@
 
     /// Takes an entry unless a newer one of the same endpoint is known. Returns the key of an earlier life
     /// of the endpoint: the new one holds and knows nothing of what that had.
-    fn put(&mut self, listed: Listed, now: Millis) -> Option<EndpointKey> {
+    fn put(&mut self, listed: ListedEndpoint, now: Millis) -> Option<EndpointKey> {
         let known = self.by_id.get(&listed.id).copied();
         let Some(key) = known else {
             self.insert(listed, now);
@@ -388,11 +388,11 @@
         }
         endpoint.standing = standing_of(&listed);
         let born = listed.born.or(endpoint.listed.born);
-        endpoint.listed = Listed { born, ..listed };
+        endpoint.listed = ListedEndpoint { born, ..listed };
         None
     }
 
-    fn insert(&mut self, listed: Listed, now: Millis) {
+    fn insert(&mut self, listed: ListedEndpoint, now: Millis) {
         let id = listed.id.clone();
         let digest = digest(&id, listed.born);
         let mut endpoint = Endpoint {
@@ -437,7 +437,7 @@
 
     fn remove(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.arena.remove(key) {
-            let Listed { id, born, .. } = &endpoint.listed;
+            let ListedEndpoint { id, born, .. } = &endpoint.listed;
             self.former.keep(id, *born, endpoint.announced, now);
             self.by_id.remove(id);
             self.by_digest.remove(&endpoint.digest);
@@ -445,7 +445,7 @@
     }
 }
 
-const fn standing_of(listed: &Listed) -> Standing {
+const fn standing_of(listed: &ListedEndpoint) -> Standing {
     if listed.draining {
         Standing::Draining
     } else {
--- a/src/direct/listed.rs
+++ b/src/direct/listed.rs
@@ -11,7 +11,7 @@
 
 /// One endpoint as listed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Identity of this life of the endpoint.
     pub id: String,
     /// Pool that it serves.
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Endpoints.
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<ListedEndpoint>,
     /// Availability zones to whose endpoints nothing new is sent.
     pub cordons: Vec<Cordon>,
 }
 
-impl From<Vec<Listed>> for Listing {
-    fn from(endpoints: Vec<Listed>) -> Self {
+impl From<Vec<ListedEndpoint>> for Listing {
+    fn from(endpoints: Vec<ListedEndpoint>) -> Self {
         Self {
             endpoints,
             cordons: Vec::new(),
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// An endpoint was added or changed.
-    Put(Listed),
+    Put(ListedEndpoint),
     /// An entry disappeared.
     Removed {
         /// Identity of the endpoint.
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -5,7 +5,7 @@
 use common::listed;
 use violetline::announced::{Announced, Announcement, FormerLives, NamedLimit};
 use violetline::clock::Millis;
-use violetline::direct::directory::{Change, Directory, Listed, LAPSE_GRACE};
+use violetline::direct::directory::{Change, Directory, ListedEndpoint, LAPSE_GRACE};
 
 const LONGEST: Millis = Millis(300_000);
 const LEAVES: Announcement = Announcement {
@@ -23,8 +23,8 @@
 }
 
 /// The endpoint `a` as listed, of a life that began at `born`.
-fn life(born: Option<u64>, revision: u64) -> Listed {
-    Listed {
+fn life(born: Option<u64>, revision: u64) -> ListedEndpoint {
+    ListedEndpoint {
         born,
         ..listed("a", revision)
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use violetline::clock::{Clock, Millis};
 use violetline::direct::catalog::{CallerLimits, Catalog, Repeat, Route, Shape, Share, Team};
 use violetline::direct::decision::DecisionLog;
-use violetline::direct::directory::Listed;
+use violetline::direct::directory::ListedEndpoint;
 use violetline::direct::entry::Entry;
 use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::settings::{Bounds, DirectSettings};
@@ -58,8 +58,8 @@
 }
 
 /// An endpoint of the pool as listed at a revision.
-pub fn listed(id: &str, revision: u64) -> Listed {
-    Listed {
+pub fn listed(id: &str, revision: u64) -> ListedEndpoint {
+    ListedEndpoint {
         id: id.into(),
         pool: "pool".into(),
         address: ([127, 0, 0, 1], 9_000).into(),
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -7,7 +7,7 @@
 use violetline::direct::catalog::EngineShape;
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
-use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
+use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
 use violetline::direct::health::{Fault, Grade, Record};
 use violetline::direct::load::{Footprint, Load, Report};
 use violetline::direct::prefix::{Part, PrefixMap};
@@ -218,7 +218,7 @@
 fn own_zone_first() {
     let mut pool = Pool::new();
     for id in ["a", "b"] {
-        let far = Listed {
+        let far = ListedEndpoint {
             zone: "hall-b".into(),
             ..listed(id, 2)
         };
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -4,7 +4,7 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::directory::{Change, Directory, Listed, Standing, LAPSE_GRACE};
+use violetline::direct::directory::{Change, Directory, ListedEndpoint, Standing, LAPSE_GRACE};
 
 fn removed(id: &str, revision: u64) -> Change {
     Change::Removed {
@@ -35,7 +35,7 @@
 #[test]
 fn draining_takes_nothing() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
     };
@@ -76,7 +76,7 @@
 #[test]
 fn draining_never_lapses() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
     };
@@ -88,7 +88,7 @@
 #[test]
 fn old_entry_ignored() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 5)
     };
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -7,7 +7,7 @@
 use violetline::direct::catalog::EngineShape;
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand, Seen};
-use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
+use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
 use violetline::direct::health::{Fault, Record};
 use violetline::direct::lanes::Lanes;
 use violetline::direct::load::{Footprint, Load};
@@ -35,7 +35,7 @@
     fn new(count: usize) -> Self {
         let mut directory = Directory::default();
         for i in 0..count {
-            let endpoint = Listed {
+            let endpoint = ListedEndpoint {
                 slots: 64,
                 ..listed(&format!("e{i}"), 1)
             };
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -7,7 +7,7 @@
 use violetline::clock::Millis;
 use violetline::direct::changes;
 use violetline::direct::channel::Failure;
-use violetline::direct::directory::{Change, Listed};
+use violetline::direct::directory::{Change, ListedEndpoint};
 use violetline::direct::entry::Entry;
 use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::sync::{until_question, CallError};
@@ -209,7 +209,7 @@
 #[test]
 fn whole_list() {
     let (_, fresh) = entry();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("i-3", 6)
     };
--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -7,7 +7,7 @@
 
 use common::{entry, listed};
 use violetline::clock::{Clock, Millis};
-use violetline::direct::directory::{digest, Listed};
+use violetline::direct::directory::{digest, ListedEndpoint};
 use violetline::direct::entry::Entry;
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Notice, Standing};
@@ -21,7 +21,7 @@
 fn with_pools(own: usize, others: usize) -> (Clock, Rc<Entry>) {
     let (clock, entry) = entry();
     let own = (0..own).map(|i| listed(&format!("i-{i}"), 1));
-    let others = (0..others).map(|i| Listed {
+    let others = (0..others).map(|i| ListedEndpoint {
         pool: "other".into(),
         ..listed(&format!("m-{i}"), 1)
     });
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -11,7 +11,7 @@
 use violetline::direct::admission::PlainOutlook;
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
-use violetline::direct::directory::{Change, Directory, Listed};
+use violetline::direct::directory::{Change, Directory, ListedEndpoint};
 use violetline::direct::health::Record;
 use violetline::direct::load::{Load, Report};
 use violetline::direct::prefix::PrefixMap;
@@ -39,7 +39,7 @@
 fn run(seed: u64, turns_away: bool) -> (u32, u32) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut directory = Directory::default();
-    let only = Listed {
+    let only = ListedEndpoint {
         slots: SLOTS as u32,
         ..listed("a", 1)
     };
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -4,7 +4,7 @@
 
 use common::{entry, listed};
 use violetline::clock::Millis;
-use violetline::direct::directory::{digest, Change, Directory, EndpointKey, Listed};
+use violetline::direct::directory::{digest, Change, Directory, EndpointKey, ListedEndpoint};
 use violetline::direct::health::Fault;
 use violetline::direct::load::Footprint;
 use violetline::direct::prefix::Part;
@@ -17,8 +17,8 @@
     delicate: 0,
 };
 
-fn life(id: &str, born: u64, revision: u64) -> Listed {
-    Listed {
+fn life(id: &str, born: u64, revision: u64) -> ListedEndpoint {
+    ListedEndpoint {
         born: Some(born),
         ..listed(id, revision)
     }
@@ -48,7 +48,7 @@
     directory.apply(Change::Put(life("a", 100, 1)), Millis(0));
     let before = key(&directory);
     for (n, born) in [Some(100), None, Some(100)].into_iter().enumerate() {
-        let listed = Listed {
+        let listed = ListedEndpoint {
             born,
             ..listed("a", n as u64 + 2)
         };
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -4,7 +4,7 @@
 
 use common::{entry, listed};
 use violetline::clock::Millis;
-use violetline::direct::directory::{digest, Change, Listed};
+use violetline::direct::directory::{digest, Change, ListedEndpoint};
 use violetline::direct::health::Fault;
 use violetline::direct::peers::PeerId;
 use violetline::direct::warmup::{share, shared_until, Excess, FleetSize, RecentSends, WarmUp};
@@ -104,7 +104,7 @@
 #[test]
 fn told_by_entry() {
     let (clock, entry) = entry();
-    let cold = Listed {
+    let cold = ListedEndpoint {
         warming: Millis(2_000),
         ..listed("a", 1)
     };
@@ -158,7 +158,7 @@
 #[test]
 fn not_told() {
     let (_, entry) = entry();
-    let cold = Listed {
+    let cold = ListedEndpoint {
         warming: Millis(2_000),
         ..listed("a", 1)
     };
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -5,7 +5,7 @@
 use common::{entry, listed};
 use violetline::clock::Millis;
 use violetline::direct::cordons::Cordons;
-use violetline::direct::directory::{Change, Cordon, Directory, Listed, Listing};
+use violetline::direct::directory::{Change, Cordon, Directory, ListedEndpoint, Listing};
 
 const ZONE: &str = "hall-a";
 
@@ -18,7 +18,7 @@
 
 fn directory() -> Directory {
     let mut directory = Directory::default();
-    let elsewhere = Listed {
+    let elsewhere = ListedEndpoint {
         zone: "hall-b".into(),
         ..listed("b", 2)
     };
