--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -45,7 +45,7 @@
         };
         book.hear(address(peer), &hello, NOW);
     }
-    book.note_serving(false, NOW);
+    book.update_serving_peers(false, NOW);
     book
 }
 
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -199,7 +199,9 @@
     pub fn round_limits(&self) {
         let now = self.clock.now();
         let is_leaving = self.life() != super::Life::Serving;
-        self.peers.borrow_mut().note_serving(is_leaving, now);
+        self.peers
+            .borrow_mut()
+            .update_serving_peers(is_leaving, now);
         let is_own = |target| matches!(self.coordinator(target), Coordinator::Own { .. });
         self.limits.borrow_mut().round(is_own, now);
     }
--- a/src/direct/entry/store.rs
+++ b/src/direct/entry/store.rs
@@ -165,7 +165,7 @@
         let now = self.clock.now();
         let missing = self.missing_since.get();
         let keeps_up = missing.is_none_or(|since| now - since < PEERS_TIME);
-        self.version() > 0 && keeps_up && !self.peers.borrow().is_watcher(now)
+        self.version() > 0 && keeps_up && !self.peers.borrow().should_watch(now)
     }
 
     /// A call to the store failed.
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -54,7 +54,10 @@
         for tell in round {
             let hello = hello_for(&entry, tell, now);
             let bytes = send(&socket, tell.to, &hello).await;
-            entry.peers.borrow_mut().sent_bytes(tell.work_scope, bytes);
+            entry
+                .peers
+                .borrow_mut()
+                .record_sent_bytes(tell.work_scope, bytes);
             let since = entry.peers.borrow().notices_since(tell.work_scope, now);
             send_notices(&entry, &socket, tell.to, since, repeats).await;
             tell_limits(&entry, tell.to, since);
@@ -71,7 +74,7 @@
 async fn tell_at_once(entry: &Entry, socket: &UdpSocket) {
     sleep(GATHER.duration()).await;
     let since = entry.clock.now() - Millis(GATHER.0 * 2);
-    let peers = entry.peers.borrow_mut().at_once();
+    let peers = entry.peers.borrow_mut().immediate_targets();
     for peer in peers {
         send_notices(entry, socket, peer, since, false).await;
     }
@@ -204,7 +207,7 @@
 fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
     let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
-    let since = book.placed_since(tell.work_scope, now);
+    let since = book.placements_since(tell.work_scope, now);
     let (placed, others) = match tell.work_scope {
         WorkScope::Sender => (
             entry.placements.borrow().since(since, OWN_PLACED),
@@ -291,8 +294,8 @@
 fn take_work(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let book = entry.peers.borrow();
     let (teller, lasts) = match (hello.work_scope, hello.zone) {
-        (WorkScope::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
-        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_word(now)),
+        (WorkScope::Sender, _) => (Teller::Peer(hello.from), book.neighbor_report_ttl()),
+        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_report_ttl(now)),
         (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
     let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes whether other entries serve than in the last round, and whether this one still does.
-    pub fn note_serving(&mut self, is_leaving: bool, now: Millis) {
+    pub fn update_serving_peers(&mut self, is_leaving: bool, now: Millis) {
         let serving = self.serving_peers(now);
         let near = serving.filter(|(_, peer)| self.is_near(peer));
         let serving: BTreeSet<SocketAddr> = near.map(|(address, _)| address).collect();
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -76,7 +76,7 @@
     }
 
     /// A datagram of a round took this many bytes; the next rounds keep the bound.
-    pub fn sent_bytes(&mut self, work_scope: WorkScope, bytes: usize) {
+    pub fn record_sent_bytes(&mut self, work_scope: WorkScope, bytes: usize) {
         match work_scope {
             WorkScope::Sender => self.near_bytes = mean_bytes(self.near_bytes, bytes),
             WorkScope::Zone => self.far_bytes = mean_bytes(self.far_bytes, bytes),
@@ -93,7 +93,7 @@
 
     /// Time since which placements are told: some turns, so that lost datagrams are made up for. In a
     /// fleet of one cell all that are remembered: nobody passes them on, and parts of prompts would be read again.
-    pub fn placed_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
+    pub fn placements_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
         if self.far_count == 0 {
             return Millis(0);
         }
@@ -115,7 +115,7 @@
     }
 
     /// The peers to tell at once, between two rounds.
-    pub fn at_once(&mut self) -> Vec<SocketAddr> {
+    pub fn immediate_targets(&mut self) -> Vec<SocketAddr> {
         let near = self.addresses(|book, peer| book.is_near(peer));
         let far = self.addresses(|book, peer| !book.is_near(peer));
         let mut told = take_turn(&near, &mut self.near_at_once, PER_ROUND);
@@ -124,12 +124,12 @@
     }
 
     /// Time for which a neighbour's word on its work counts.
-    pub fn near_word(&self) -> Millis {
+    pub fn neighbor_report_ttl(&self) -> Millis {
         WORD.max(Millis(self.near_cycle().0 * WORD_TURNS))
     }
 
     /// Time for which a word on another zone's work counts.
-    pub fn zone_word(&self, now: Millis) -> Millis {
+    pub fn zone_report_ttl(&self, now: Millis) -> Millis {
         let turn = self.near_cycle() + self.zone_interval(now);
         WORD.max(Millis(turn.0 * WORD_TURNS))
     }
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -26,7 +26,7 @@
 impl PeerTable {
     /// Whether this entry is to watch the store: too few of those that come before it in an order
     /// that all entries compute alike are known to do so.
-    pub fn is_watcher(&self, now: Millis) -> bool {
+    pub fn should_watch(&self, now: Millis) -> bool {
         let own = watch_rank(self.own, self.link_mbps);
         let watches = |peer: &Peer| self.is_near(peer) && self.is_heard_watcher(peer, now);
         let before = self
--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -38,9 +38,9 @@
 /// Keeps up until something goes wrong; the caller then reads everything anew.
 async fn keep_up(entry: &Rc<Entry>, client: &StoreClient, started: Millis) {
     loop {
-        let is_watcher = is_watcher(entry, started);
-        entry.set_watching(is_watcher);
-        let goes_on = if is_watcher {
+        let should_watch = should_watch(entry, started);
+        entry.set_watching(should_watch);
+        let goes_on = if should_watch {
             watch(entry, client).await
         } else {
             follow_peers(entry, client).await
@@ -53,13 +53,13 @@
 }
 
 /// Whether this entry, which runs since `started`, is to watch the store.
-fn is_watcher(entry: &Entry, started: Millis) -> bool {
+fn should_watch(entry: &Entry, started: Millis) -> bool {
     let now = entry.clock.now();
     let peers = entry.peers.borrow();
     match now - started {
         age if age < FIND_PEERS => false,
         age if age < LINE_UP => peers.is_first_in_line(now),
-        _ => peers.is_watcher(now),
+        _ => peers.should_watch(now),
     }
 }
 
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -92,7 +92,7 @@
             let hello = bare(&mut self.entries[from], tell.to, tell.work_scope, now);
             let entry = &mut self.entries[from];
             entry.sent.0 += bytes;
-            entry.book.sent_bytes(tell.work_scope, bytes);
+            entry.book.record_sent_bytes(tell.work_scope, bytes);
             self.arrive(from, tell.to, &hello);
         }
     }
@@ -334,7 +334,7 @@
         fleet.rounds(60);
         let since = fleet.entries[0]
             .book
-            .placed_since(WorkScope::Sender, fleet.now);
+            .placements_since(WorkScope::Sender, fleet.now);
         if count <= 8 {
             assert_eq!(since, Millis(0), "{count}");
         } else {
@@ -360,7 +360,7 @@
         .count();
     assert_eq!(known, 40);
     let (word, blind) = (
-        fleet.entries[0].book.near_word(),
+        fleet.entries[0].book.neighbor_report_ttl(),
         fleet.entries[0].book.blind(fleet.now),
     );
     assert!(word >= Millis(1_500) && blind < word);
@@ -376,13 +376,13 @@
         let book = &fleet.entries[count / 2].book;
         if !near.is_empty() && zones < count {
             assert!(
-                part_of(&near, 0.9) < book.near_word().0,
+                part_of(&near, 0.9) < book.neighbor_report_ttl().0,
                 "{count} in {zones}"
             );
         }
         if !far.is_empty() {
             assert!(
-                part_of(&far, 0.9) < book.zone_word(fleet.now).0,
+                part_of(&far, 0.9) < book.zone_report_ttl(fleet.now).0,
                 "{count} in {zones}"
             );
         }
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -55,7 +55,7 @@
         let Some(book) = self.books.get_mut(&from) else {
             return 0;
         };
-        let watches = book.is_watcher(now);
+        let watches = book.should_watch(now);
         let round: Vec<SocketAddr> = book.round(watches, now).iter().map(|t| t.to).collect();
         let mut messages = Vec::new();
         for peer in &round {
@@ -85,7 +85,7 @@
     /// Those that are up and watch the store.
     fn watchers(&self) -> Vec<SocketAddr> {
         let up = self.books.iter().filter(|(a, _)| !self.down.contains(a));
-        let watch = up.filter(|(_, book)| book.is_watcher(self.now));
+        let watch = up.filter(|(_, book)| book.should_watch(self.now));
         watch.map(|(address, _)| *address).collect()
     }
 
@@ -203,11 +203,11 @@
     for from in [2, 3] {
         book.hear(address(from), &message(from.into(), true), Millis(100));
     }
-    assert!(!book.is_watcher(Millis(200)));
+    assert!(!book.should_watch(Millis(200)));
     for from in [4, 5] {
         book.hear(address(from - 2), &message(from.into(), false), Millis(300));
     }
-    assert!(book.is_watcher(Millis(400)));
+    assert!(book.should_watch(Millis(400)));
 }
 
 /// An entry's traffic does not grow with the fleet.
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -237,7 +237,7 @@
     fn tell_at_once(&mut self, i: usize) {
         self.members[i].is_telling = false;
         let since = Millis(self.now - 2 * GATHER);
-        for to in self.members[i].book.at_once() {
+        for to in self.members[i].book.immediate_targets() {
             self.send_notices(i, to, since, false);
         }
     }
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -175,7 +175,7 @@
             };
             book.hear(address(peer), &hello, now);
         }
-        book.note_serving(false, now);
+        book.update_serving_peers(false, now);
         book
     };
     (0..zones.len()).map(member).collect()
@@ -209,7 +209,7 @@
             &hello,
             Millis(8_000),
         );
-        books[i].note_serving(false, Millis(8_000));
+        books[i].update_serving_peers(false, Millis(8_000));
     }
     for endpoint in 0..20 {
         let own = [0, 2].map(|i| by(&books, i, endpoint, 8_100));
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -231,7 +231,7 @@
         }
         let now = self.time();
         let is_leaving = self.members[i].is_leaving;
-        self.members[i].book.note_serving(is_leaving, now);
+        self.members[i].book.update_serving_peers(is_leaving, now);
         let member = &mut self.members[i];
         let (book, started) = (&member.book, Millis(member.started));
         let is_own = |t: Target| {
@@ -243,7 +243,9 @@
             let to = self.by_address[&tell.to];
             let hello = self.hello(i, tell.to, tell.work_scope);
             let bytes = HELLO_BYTES[usize::from(tell.work_scope == WorkScope::Zone)];
-            self.members[i].book.sent_bytes(tell.work_scope, bytes);
+            self.members[i]
+                .book
+                .record_sent_bytes(tell.work_scope, bytes);
             if self.passes(i, to) {
                 self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
             }
