--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -43,7 +43,7 @@
             work: Vec::new(),
             placed: Vec::new(),
         };
-        book.hear(address(peer), &hello, NOW);
+        book.record_message(address(peer), &hello, NOW);
     }
     book.update_serving_peers(false, NOW);
     book
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -263,7 +263,7 @@
 /// peer was not known.
 fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &GossipMessage) -> bool {
     let now = entry.clock.now();
-    let heard = entry.peers.borrow_mut().hear(from, hello, now);
+    let heard = entry.peers.borrow_mut().record_message(from, hello, now);
     if heard.is_new {
         let peers = entry.peers.borrow().entries(now) - 1;
         entry.log_peer(from, peers);
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -209,7 +209,12 @@
     }
 
     /// Takes a datagram.
-    pub fn hear(&mut self, from: SocketAddr, hello: &GossipMessage, now: Millis) -> Heard {
+    pub fn record_message(
+        &mut self,
+        from: SocketAddr,
+        hello: &GossipMessage,
+        now: Millis,
+    ) -> Heard {
         for other in &hello.others {
             self.meet(*other, now);
         }
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -127,7 +127,7 @@
             WorkScope::Nothing => Vec::new(),
         };
         let receiver = &mut self.entries[to];
-        let heard = receiver.book.hear(address(from), hello, now);
+        let heard = receiver.book.record_message(address(from), hello, now);
         for (i, at) in told {
             receiver.known[i] = receiver.known[i].max(at);
         }
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -76,7 +76,7 @@
                 continue;
             }
             if let Some(book) = self.books.get_mut(&peer) {
-                book.hear(from, &message, now);
+                book.record_message(from, &message, now);
             }
         }
         round.len()
@@ -201,11 +201,11 @@
         ..hello(from, 1, None)
     };
     for from in [2, 3] {
-        book.hear(address(from), &message(from.into(), true), Millis(100));
+        book.record_message(address(from), &message(from.into(), true), Millis(100));
     }
     assert!(!book.should_watch(Millis(200)));
     for from in [4, 5] {
-        book.hear(address(from - 2), &message(from.into(), false), Millis(300));
+        book.record_message(address(from - 2), &message(from.into(), false), Millis(300));
     }
     assert!(book.should_watch(Millis(400)));
 }
@@ -225,10 +225,10 @@
 fn echo_dates_question() {
     let mut book = PeerTable::new(address(1), &[address(2)], 7);
     let number = book.next_number(Millis(500));
-    let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(900));
+    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(900));
     assert_eq!(heard.asked, Some(Millis(500)));
     assert!(heard.is_new);
-    let heard = book.hear(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
+    let heard = book.record_message(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
     assert_eq!(heard.asked, None);
     assert!(!heard.is_new);
 }
@@ -240,15 +240,21 @@
     let number = earlier.next_number(Millis(500));
     let mut book = PeerTable::new(address(1), &[], 8);
     book.next_number(Millis(10));
-    let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(20));
+    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(20));
     assert_eq!(heard.asked, None);
 }
 
 #[test]
 fn restarted_peer() {
     let mut book = PeerTable::new(address(1), &[], 1);
-    assert!(book.hear(address(2), &hello(2, 9, None), Millis(10)).is_new);
-    assert!(book.hear(address(2), &hello(3, 1, None), Millis(20)).is_new);
+    assert!(
+        book.record_message(address(2), &hello(2, 9, None), Millis(10))
+            .is_new
+    );
+    assert!(
+        book.record_message(address(2), &hello(3, 1, None), Millis(20))
+            .is_new
+    );
     assert_eq!(book.echo(address(2)), Some(1));
 }
 
@@ -256,8 +262,8 @@
 #[test]
 fn overtaken_datagram() {
     let mut book = PeerTable::new(address(1), &[], 1);
-    book.hear(address(2), &hello(2, 9, None), Millis(10));
-    book.hear(address(2), &hello(2, 8, None), Millis(20));
+    book.record_message(address(2), &hello(2, 9, None), Millis(10));
+    book.record_message(address(2), &hello(2, 8, None), Millis(20));
     assert_eq!(book.echo(address(2)), Some(9));
 }
 
@@ -358,8 +364,8 @@
         proof_age_ms: Some(300),
         ..hello(from, 1, None)
     };
-    book.hear(address(2), &hello(2, 1, None), Millis(10));
-    book.hear(address(3), &watching(3), Millis(10));
+    book.record_message(address(2), &hello(2, 1, None), Millis(10));
+    book.record_message(address(3), &watching(3), Millis(10));
     assert!((0..5).all(|draw| book.proof_source(draw) == Some(address(3))));
 }
 
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -240,7 +240,7 @@
             let peer = ([127, 0, 0, i], 1).into();
             let hello = watching_peer(u64::from(i));
             let mut peers = entry.peers.borrow_mut();
-            peers.hear(peer, &hello, entry.clock.now());
+            peers.record_message(peer, &hello, entry.clock.now());
         }
     };
     hear_watchers();
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -414,7 +414,7 @@
     book.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
-        book.hear(address(peer), &hello(peer % zones, in_zone), Millis(0));
+        book.record_message(address(peer), &hello(peer % zones, in_zone), Millis(0));
     }
     Member {
         book,
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -173,7 +173,7 @@
                 zone: ZoneId::of(zone),
                 ..hello(peer as u64, 1, None)
             };
-            book.hear(address(peer), &hello, now);
+            book.record_message(address(peer), &hello, now);
         }
         book.update_serving_peers(false, now);
         book
@@ -204,7 +204,7 @@
             zone: ZoneId::of(zones[peer]),
             ..hello(peer as u64, 2, None)
         };
-        books[i].hear(
+        books[i].record_message(
             ([10, 0, 0, peer as u8], 7_000).into(),
             &hello,
             Millis(8_000),
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -303,7 +303,9 @@
     fn hear(&mut self, i: usize, from: usize, hello: &GossipMessage) {
         if self.members[i].is_up {
             let now = self.time();
-            self.members[i].book.hear(address(from), hello, now);
+            self.members[i]
+                .book
+                .record_message(address(from), hello, now);
         }
     }
 
@@ -538,7 +540,7 @@
             zone_entries: (day.entries / day.zones) as u32,
             ..common::hello(peer as u64, 0, None)
         };
-        book.hear(address(peer), &hello, Millis(0));
+        book.record_message(address(peer), &hello, Millis(0));
     }
     Member {
         book,
