--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -37,11 +37,11 @@
             link_mbps: 0,
             zone: ZoneId::of(&format!("zone-{}", peer % 12)),
             zone_entries: 37,
-            asks: false,
-            others: Vec::new(),
+            wants_reply: false,
+            peer_addresses: Vec::new(),
             work_scope: WorkScope::Sender,
             work: Vec::new(),
-            placed: Vec::new(),
+            placements: Vec::new(),
         };
         book.record_message(address(peer), &hello, NOW);
     }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -131,7 +131,7 @@
             work_scope: WorkScope::Nothing,
         };
         let mut hello = hello_for(entry, tell, now);
-        hello.asks = true;
+        hello.wants_reply = true;
         send(socket, to, &hello).await;
     }
 }
@@ -168,7 +168,7 @@
                     }
                     // A peer that is not known learns the zone of this entry at once, and so whom it
                     // tells in turn.
-                    if hello.asks || is_new {
+                    if hello.wants_reply || is_new {
                         answer(&entry, &socket, from).await;
                     }
                 }
@@ -208,14 +208,14 @@
     let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
     let since = book.placements_since(tell.work_scope, now);
-    let (placed, others) = match tell.work_scope {
+    let (placements, peer_addresses) = match tell.work_scope {
         WorkScope::Sender => (
             entry.placements.borrow().since(since, OWN_PLACED),
-            book.others(tell.to, now),
+            book.peer_addresses(tell.to, now),
         ),
         WorkScope::Zone => (
             entry.zone_placements.borrow().since(since, ZONE_PLACED),
-            book.others(tell.to, now),
+            book.peer_addresses(tell.to, now),
         ),
         WorkScope::Nothing => (Vec::new(), Vec::new()),
     };
@@ -234,11 +234,11 @@
         link_mbps: book.link_mbps(),
         zone: book.zone(),
         zone_entries: book.zone_entries(now),
-        asks: false,
-        others,
+        wants_reply: false,
+        peer_addresses,
         work_scope: tell.work_scope,
         work,
-        placed,
+        placements,
     }
 }
 
@@ -315,7 +315,7 @@
     let directory = entry.directory();
     let mut prefixes = entry.prefixes.borrow_mut();
     let mut of_zone = entry.zone_placements.borrow_mut();
-    for placed in &hello.placed {
+    for placed in &hello.placements {
         if let Some(key) = directory.by_digest(placed.endpoint) {
             prefixes.note(key, std::iter::once(placed.part), now, now);
         }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -63,16 +63,16 @@
     /// Entries that serve in that zone, the sender included.
     pub zone_entries: u32,
     /// Whether the sender wants an answer at once: its proof grows old.
-    pub asks: bool,
+    pub wants_reply: bool,
     /// Addresses of some entries.
-    pub others: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
     /// Whose work follows.
     pub work_scope: WorkScope,
     /// Work at endpoints, by the digest of their identity; those at rest are left out.
     #[serde(with = "compact")]
     pub work: Vec<(u32, Work)>,
     /// Prompts that they placed lately.
-    pub placed: Vec<PlacedPrompt>,
+    pub placements: Vec<PlacedPrompt>,
 }
 
 /// Writes a datagram; `None` when that is not possible within [`MOST_BYTES`].
@@ -91,7 +91,7 @@
         return Some(bytes);
     }
     let mut shorter = hello.clone();
-    shorter.placed.clear();
+    shorter.placements.clear();
     let weight = |work: &Work| Reverse((work.running, work.all_unread()));
     shorter.work.sort_by_key(|(_, work)| weight(work));
     loop {
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -194,7 +194,7 @@
     }
 
     /// Some addresses to pass on, other than the receiver's own.
-    pub fn others(&mut self, receiver: SocketAddr, now: Millis) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&mut self, receiver: SocketAddr, now: Millis) -> Vec<SocketAddr> {
         let silence = self.silence();
         let heard = self.peers.iter().filter(|(address, peer)| {
             **address != receiver && peer.heard.is_some_and(|at| now - at < silence)
@@ -215,7 +215,7 @@
         hello: &GossipMessage,
         now: Millis,
     ) -> Heard {
-        for other in &hello.others {
+        for other in &hello.peer_addresses {
             self.meet(*other, now);
         }
         self.meet(from, now);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -112,10 +112,10 @@
         link_mbps: 0,
         zone: None,
         zone_entries: 1,
-        asks: false,
-        others: Vec::new(),
+        wants_reply: false,
+        peer_addresses: Vec::new(),
         work_scope: WorkScope::Sender,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -183,11 +183,11 @@
         link_mbps: 20,
         zone: entry.book.zone(),
         zone_entries: entry.book.zone_entries(now),
-        asks: false,
-        others: entry.book.others(to, now),
+        wants_reply: false,
+        peer_addresses: entry.book.peer_addresses(to, now),
         work_scope,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
 
@@ -211,7 +211,7 @@
     };
     GossipMessage {
         work: (0..endpoints).map(|i| (u32::MAX - i, work)).collect(),
-        placed: vec![placed; prompts],
+        placements: vec![placed; prompts],
         ..bare(entry, to, work_scope, Millis(0))
     }
 }
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -68,7 +68,7 @@
             } else {
                 300
             });
-            message.others = book.others(*peer, now);
+            message.peer_addresses = book.peer_addresses(*peer, now);
             messages.push((*peer, message));
         }
         for (peer, message) in messages {
@@ -315,7 +315,7 @@
         delicate: 900,
         pressure: 30_000,
     };
-    sent.others = (0..16).map(address).collect();
+    sent.peer_addresses = (0..16).map(address).collect();
     sent.work = (0..12).map(|i| (u32::MAX - i, work)).collect();
     let mut recent = RecentPlacements::default();
     for i in 0..100 {
@@ -327,7 +327,7 @@
             Millis(0),
         );
     }
-    sent.placed = recent.since(Millis(0), 12);
+    sent.placements = recent.since(Millis(0), 12);
     let length = peers::encode(&sent).unwrap().len();
     let rounds_per_s = 1_000 / ROUND.0;
     let per_s = length * PER_ROUND * rounds_per_s as usize;
@@ -372,7 +372,7 @@
 #[test]
 fn datagram_round_trip() {
     let mut sent = hello(1, 2, Some(3));
-    sent.others = vec![address(4)];
+    sent.peer_addresses = vec![address(4)];
     let bytes = peers::encode(&sent).unwrap();
     assert_eq!(peers::decode(&bytes), Some(sent));
     assert_eq!(peers::decode(&bytes[1..]), None);
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -274,10 +274,10 @@
         link_mbps: 200,
         zone: None,
         zone_entries: 1,
-        asks: false,
-        others: Vec::new(),
+        wants_reply: false,
+        peer_addresses: Vec::new(),
         work_scope: WorkScope::Sender,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -263,8 +263,8 @@
         let number = member.book.next_number(now);
         // Rounds of a large fleet are played with less, and tell the same.
         let tells = self.day.entries <= 30 || number % 16 == 0;
-        let others = match tells {
-            true => member.book.others(to, now),
+        let peer_addresses = match tells {
+            true => member.book.peer_addresses(to, now),
             false => Vec::new(),
         };
         let zone_entries = match work_scope {
@@ -275,7 +275,7 @@
             leaving: member.is_leaving,
             zone: member.book.zone(),
             zone_entries,
-            others,
+            peer_addresses,
             work_scope,
             ..common::hello(u64::from(member.life) << 32 | i as u64, number, None)
         }
