--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -317,7 +317,7 @@
     let mut of_zone = entry.zone_placements.borrow_mut();
     for placed in &hello.placements {
         if let Some(key) = directory.by_digest(placed.endpoint) {
-            prefixes.note(key, std::iter::once(placed.part), now, now);
+            prefixes.note(key, std::iter::once(placed.segment_id), now, now);
         }
         if hello.work_scope == WorkScope::Sender {
             of_zone.hear(*placed, now);
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -17,7 +17,7 @@
 use crate::direct::ends::EndSign;
 use crate::direct::health::Fault;
 use crate::direct::load;
-use crate::direct::peers::PlacedPrompt;
+use crate::direct::peers::PromptPlacement;
 use crate::direct::resolve::{Allowed, Denied};
 
 /// Silence of an endpoint, in targets of the route, after which it is taken for unreachable.
@@ -205,7 +205,10 @@
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key).map(|e| e.digest);
         if let (Some(part), Some(endpoint)) = (shared, endpoint) {
-            let placed = PlacedPrompt { part, endpoint };
+            let placed = PromptPlacement {
+                segment_id: part,
+                endpoint,
+            };
             self.entry.placements.borrow_mut().add(placed, now);
             self.entry.zone_placements.borrow_mut().add(placed, now);
         }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -7,7 +7,7 @@
 
 use super::compact;
 use super::zones::ZoneId;
-use super::PlacedPrompt;
+use super::PromptPlacement;
 use crate::direct::load::Work;
 
 /// Longest datagram that is sent or read, in bytes: below the usual limit of a packet on a path.
@@ -72,7 +72,7 @@
     #[serde(with = "compact")]
     pub work: Vec<(u32, Work)>,
     /// Prompts that they placed lately.
-    pub placements: Vec<PlacedPrompt>,
+    pub placements: Vec<PromptPlacement>,
 }
 
 /// Writes a datagram; `None` when that is not possible within [`MOST_BYTES`].
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -23,7 +23,7 @@
 pub use self::hello::{
     decode, encode, encode_within, GossipMessage, PeerId, WorkScope, MOST_BYTES,
 };
-pub use self::placements::{PlacedPrompt, RecentPlacements};
+pub use self::placements::{PromptPlacement, RecentPlacements};
 pub use self::rounds::{Tell, FAR_BYTES, FAR_PER_ROUND, PER_ROUND, ROUND, ROUND_BYTES};
 pub use self::zones::ZoneId;
 use self::zones::Zones;
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,7 +6,7 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, GossipMessage, PeerId, PeerTable, PlacedPrompt, WorkScope, FAR_BYTES,
+    encode_within, GossipMessage, PeerId, PeerTable, PromptPlacement, WorkScope, FAR_BYTES,
     MOST_BYTES, ROUND, ROUND_BYTES,
 };
 
@@ -205,8 +205,8 @@
         WorkScope::Zone => (100, 24),
         WorkScope::Nothing => (0, 0),
     };
-    let placed = PlacedPrompt {
-        part: 1 << 47,
+    let placed = PromptPlacement {
+        segment_id: 1 << 47,
         endpoint: u32::MAX,
     };
     GossipMessage {
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -9,8 +9,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    self, GossipMessage, PeerId, PeerTable, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND,
-    ROUND,
+    self, GossipMessage, PeerId, PeerTable, PromptPlacement, RecentPlacements, MOST_BYTES,
+    PER_ROUND, ROUND,
 };
 
 fn address(i: u8) -> SocketAddr {
@@ -320,8 +320,8 @@
     let mut recent = RecentPlacements::default();
     for i in 0..100 {
         recent.add(
-            PlacedPrompt {
-                part: u64::from(u32::MAX) - i,
+            PromptPlacement {
+                segment_id: u64::from(u32::MAX) - i,
                 endpoint: u32::MAX,
             },
             Millis(0),
