--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -66,7 +66,7 @@
     let ask = limits.question(TARGET, 1, 0, 0, NOW);
     let bytes = limits::encode(&Message::Ask(ask)).unwrap_or_default();
     let own = Coordinator::Own {
-        part: 1.0,
+        visible_share: 1.0,
         is_settled: true,
     };
     bencher.bench_local(|| {
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -168,12 +168,13 @@
             return Step::Wait(ask_at);
         }
         let until = match by {
-            Coordinator::Own { part, is_settled } if !stands_still => {
-                match limited.take(part, is_settled, band, 1, now) {
-                    Ok(_) => return Step::Permitted,
-                    Err(until) => until,
-                }
-            }
+            Coordinator::Own {
+                visible_share,
+                is_settled,
+            } if !stands_still => match limited.take(visible_share, is_settled, band, 1, now) {
+                Ok(_) => return Step::Permitted,
+                Err(until) => until,
+            },
             Coordinator::Peer(peer) if may_ask => {
                 self.asks.0 -= 1.0;
                 limited.asking = Some(now);
@@ -224,9 +225,12 @@
         let given = match by {
             // It has ended, and the asker learns that from the word.
             _ if known.is_some_and(|word| word.limit.is_none()) => Given::Permits(1),
-            Coordinator::Own { part, is_settled } if !stands_still => {
+            Coordinator::Own {
+                visible_share,
+                is_settled,
+            } if !stands_still => {
                 let wanted = u32::from(ask.wanted).min(MOST_WANTED);
-                match limited.take(part, is_settled, band, wanted, now) {
+                match limited.take(visible_share, is_settled, band, wanted, now) {
                     Ok(given) => Given::Permits(given as u8),
                     Err(until) => Given::Nothing((until - now).as_u32()),
                 }
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -32,7 +32,7 @@
     /// This one.
     Own {
         /// The part of the entries that it sees: others may decide for the rest, in another part of the fleet.
-        part: f64,
+        visible_share: f64,
         /// Whether who serves has not changed lately.
         is_settled: bool,
     },
@@ -88,7 +88,7 @@
                 peer.map_or(Coordinator::Unknown, |(_, peer)| Coordinator::Peer(peer))
             }
             _ => Coordinator::Own {
-                part: self.seen_part(started, now),
+                visible_share: self.visible_share(started, now),
                 is_settled: now >= self.changed + SETTLED,
             },
         }
@@ -167,7 +167,7 @@
     }
 
     /// The part of the neighbours that are heard, of all that were heard lately and did not say that they stop.
-    fn seen_part(&self, started: Millis, now: Millis) -> f64 {
+    fn visible_share(&self, started: Millis, now: Millis) -> f64 {
         let heard_any = self.peers.values().any(|peer| peer.heard.is_some());
         if !heard_any && !self.peers.is_empty() && now < started + ALONE {
             return 1.0 / UNSEEN_FLEET;
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -14,7 +14,7 @@
     zone: None,
 };
 const OWN: Coordinator = Coordinator::Own {
-    part: 1.0,
+    visible_share: 1.0,
     is_settled: true,
 };
 
@@ -110,7 +110,7 @@
     ));
     limits.round(|_| true, Millis(9_010));
     let unsettled = Coordinator::Own {
-        part: 1.0,
+        visible_share: 1.0,
         is_settled: false,
     };
     for now in 9_011..10_011 {
@@ -195,7 +195,7 @@
         assert_eq!(by(&books, 0, endpoint, 5_500), Coordinator::Peer(b));
         assert_eq!(by(&books, 2, endpoint, 5_500), Coordinator::Peer(b));
         assert!(
-            matches!(by(&books, 1, endpoint, 5_500), Coordinator::Own { part, .. } if part == 1.0)
+            matches!(by(&books, 1, endpoint, 5_500), Coordinator::Own { visible_share, .. } if visible_share == 1.0)
         );
     }
     // The entry of the zone falls silent.
@@ -213,7 +213,7 @@
     }
     for endpoint in 0..20 {
         let own = [0, 2].map(|i| by(&books, i, endpoint, 8_100));
-        let is_own = |by: &Coordinator| matches!(by, Coordinator::Own { part, .. } if *part < 0.7);
+        let is_own = |by: &Coordinator| matches!(by, Coordinator::Own { visible_share, .. } if *visible_share < 0.7);
         assert_eq!(own.iter().filter(|by| is_own(by)).count(), 1, "{own:?}");
     }
 }
