--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -13,7 +13,9 @@
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
-use crate::direct::peers::{self, GossipMessage, Tell, WorkScope, FAR_BYTES, MOST_BYTES, ROUND};
+use crate::direct::peers::{
+    self, GossipMessage, Tell, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, ROUND_INTERVAL,
+};
 use crate::quarantine::{Notice, MOST_NOTICES};
 
 /// Pause after an error of the socket.
@@ -37,10 +39,10 @@
 /// Tells some peers each round.
 pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut rounds = 0;
-    let mut next = Instant::now() + ROUND.duration();
+    let mut next = Instant::now() + ROUND_INTERVAL.duration();
     loop {
         tokio::select! {
-            () = sleep_until(next) => next = Instant::now() + ROUND.duration(),
+            () = sleep_until(next) => next = Instant::now() + ROUND_INTERVAL.duration(),
             () = entry.tell_now.notified() => {
                 tell_at_once(&entry, &socket).await;
                 continue;
@@ -139,8 +141,8 @@
 /// Sends a datagram; its length in bytes.
 async fn send(socket: &UdpSocket, to: SocketAddr, hello: &GossipMessage) -> usize {
     let most = match hello.work_scope {
-        WorkScope::Zone => FAR_BYTES,
-        WorkScope::Sender | WorkScope::Nothing => MOST_BYTES,
+        WorkScope::Zone => MAX_REMOTE_BYTES,
+        WorkScope::Sender | WorkScope::Nothing => MAX_DATAGRAM_BYTES,
     };
     let Some(bytes) = peers::encode_within(hello, most) else {
         tracing::warn!(work = hello.work.len(), "datagram too long, not sent");
@@ -155,7 +157,7 @@
 
 /// Hears peers.
 pub async fn hear(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
-    let mut buf = vec![0; MOST_BYTES];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((length, from)) => match peers::decode(&buf[..length]) {
--- a/src/direct/peers/alert.rs
+++ b/src/direct/peers/alert.rs
@@ -3,7 +3,7 @@
 
 use crate::quarantine::{Notice, MOST_NOTICES};
 
-use super::MOST_BYTES;
+use super::MAX_DATAGRAM_BYTES;
 
 /// First byte of such a datagram; no [`super::GossipMessage`] begins with it, since bincode never writes it first in a number.
 const MARK: u8 = 0xff;
@@ -23,7 +23,7 @@
 /// Reads a datagram; `None` when it is none of these.
 pub fn decode_notices(bytes: &[u8]) -> Option<Vec<Notice>> {
     let text = bytes.strip_prefix(&[MARK])?;
-    let config = bincode::config::standard().with_limit::<MOST_BYTES>();
+    let config = bincode::config::standard().with_limit::<MAX_DATAGRAM_BYTES>();
     let (notices, read) = bincode::serde::decode_from_slice(text, config).ok()?;
     (read == text.len()).then_some(notices)
 }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -11,10 +11,10 @@
 use crate::direct::load::Work;
 
 /// Longest datagram that is sent or read, in bytes: below the usual limit of a packet on a path.
-pub const MOST_BYTES: usize = 8 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 /// Memory that a datagram takes once read, at most, in bytes: an item of work takes 12 bytes on
 /// the wire and 32 in memory.
-const MOST_DECODED: usize = 8 * MOST_BYTES;
+const MOST_DECODED: usize = 8 * MAX_DATAGRAM_BYTES;
 
 /// One life of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -75,9 +75,9 @@
     pub placements: Vec<PromptPlacement>,
 }
 
-/// Writes a datagram; `None` when that is not possible within [`MOST_BYTES`].
+/// Writes a datagram; `None` when that is not possible within [`MAX_DATAGRAM_BYTES`].
 pub fn encode(hello: &GossipMessage) -> Option<Vec<u8>> {
-    encode_within(hello, MOST_BYTES)
+    encode_within(hello, MAX_DATAGRAM_BYTES)
 }
 
 /// Writes a datagram; `None` when that is not possible within `most` bytes.
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -21,10 +21,12 @@
 pub use self::alert::{decode_notices, encode_notices};
 pub use self::coordinator::Coordinator;
 pub use self::hello::{
-    decode, encode, encode_within, GossipMessage, PeerId, WorkScope, MOST_BYTES,
+    decode, encode, encode_within, GossipMessage, PeerId, WorkScope, MAX_DATAGRAM_BYTES,
 };
 pub use self::placements::{PromptPlacement, RecentPlacements};
-pub use self::rounds::{Tell, FAR_BYTES, FAR_PER_ROUND, PER_ROUND, ROUND, ROUND_BYTES};
+pub use self::rounds::{
+    Tell, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, NEIGHBORS_PER_ROUND, REMOTES_PER_ROUND, ROUND_INTERVAL,
+};
 pub use self::zones::ZoneId;
 use self::zones::Zones;
 use crate::clock::Millis;
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -13,18 +13,18 @@
 use crate::clock::Millis;
 
 /// Time between two rounds of datagrams.
-pub const ROUND: Millis = Millis(150);
+pub const ROUND_INTERVAL: Millis = Millis(150);
 /// Neighbours told in one round, at most.
-pub const PER_ROUND: usize = 7;
+pub const NEIGHBORS_PER_ROUND: usize = 7;
 /// Fewest neighbours told in one round, however large the datagrams.
-const LEAST_PER_ROUND: usize = 2;
+const MIN_NEIGHBORS_PER_ROUND: usize = 2;
 /// Entries of other zones told in one round: with five zones of twenty entries each zone is heard every
 /// 0.3 s.
-pub const FAR_PER_ROUND: usize = 2;
+pub const REMOTES_PER_ROUND: usize = 2;
 /// Bytes that an instance may spend on control in a round: 28 KB a second.
-pub const ROUND_BYTES: usize = (28 << 10) * ROUND.0 as usize / 1_000;
+pub const MAX_ROUND_BYTES: usize = (28 << 10) * ROUND_INTERVAL.0 as usize / 1_000;
 /// Longest datagram to another zone, in bytes: with headers one packet on any path.
-pub const FAR_BYTES: usize = 1_400;
+pub const MAX_REMOTE_BYTES: usize = 1_400;
 /// Entries that watch the store in other zones and are told the own proof in each round, at most.
 const WATCHERS_TOLD: usize = 4;
 /// Silence after which a neighbour no longer counts as an entry, in a small fleet.
@@ -64,7 +64,7 @@
         let most = self.near_per_round();
         let told = take_turn(&near, &mut self.near_turn, most);
         let mut round: Vec<Tell> = told.into_iter().map(tells(WorkScope::Sender)).collect();
-        let told = take_turn(&far, &mut self.far_turn, FAR_PER_ROUND);
+        let told = take_turn(&far, &mut self.far_turn, REMOTES_PER_ROUND);
         round.extend(told.into_iter().map(tells(WorkScope::Zone)));
         if watches {
             // Proofs pass between the zones' watchers, so that the store is asked once for all.
@@ -111,15 +111,15 @@
             WorkScope::Sender | WorkScope::Nothing => self.near_cycle(),
             WorkScope::Zone => self.near_cycle() + self.zone_interval(now),
         };
-        now - Millis(turn.0.max(ROUND.0) * NOTICE_TURNS)
+        now - Millis(turn.0.max(ROUND_INTERVAL.0) * NOTICE_TURNS)
     }
 
     /// The peers to tell at once, between two rounds.
     pub fn immediate_targets(&mut self) -> Vec<SocketAddr> {
         let near = self.addresses(|book, peer| book.is_near(peer));
         let far = self.addresses(|book, peer| !book.is_near(peer));
-        let mut told = take_turn(&near, &mut self.near_at_once, PER_ROUND);
-        told.extend(take_turn(&far, &mut self.far_at_once, FAR_PER_ROUND));
+        let mut told = take_turn(&near, &mut self.near_at_once, NEIGHBORS_PER_ROUND);
+        told.extend(take_turn(&far, &mut self.far_at_once, REMOTES_PER_ROUND));
         told
     }
 
@@ -137,7 +137,7 @@
     /// Whether a peer is told the own work, and told of one by one: it is of the own zone, or of one
     /// that is not known, or the fleet is small.
     pub(super) fn is_near(&self, peer: &Peer) -> bool {
-        let is_small = self.peers.len() <= PER_ROUND;
+        let is_small = self.peers.len() <= NEIGHBORS_PER_ROUND;
         let is_own = |zone| self.zone.is_none_or(|own| own == zone);
         is_small || peer.zone.is_none_or(is_own)
     }
@@ -150,7 +150,7 @@
     /// Silence after which a peer that is heard again counts as new: those of other zones are heard
     /// one by one more seldom.
     pub(super) fn new_after(&self) -> Millis {
-        let far = Millis(ROUND.0 * self.far_count as u64);
+        let far = Millis(ROUND_INTERVAL.0 * self.far_count as u64);
         self.silence().max(far)
     }
 
@@ -167,7 +167,7 @@
             .values()
             .filter(|peer| self.is_near(peer))
             .count();
-        Millis(ROUND.0 * near.div_ceil(self.near_per_round()) as u64)
+        Millis(ROUND_INTERVAL.0 * near.div_ceil(self.near_per_round()) as u64)
     }
 
     /// Mean time between two datagrams from one other zone; 0 without other zones.
@@ -179,20 +179,20 @@
             .count();
         let zones = self.zones.heard(now, FORGET).count().max(1);
         let tellers = (far / zones).max(1);
-        Millis((ROUND.0 as usize * far / (FAR_PER_ROUND * tellers)) as u64)
+        Millis((ROUND_INTERVAL.0 as usize * far / (REMOTES_PER_ROUND * tellers)) as u64)
     }
 
     /// Neighbours told in one round, as far as the bound on bytes allows.
     fn near_per_round(&self) -> usize {
-        let left = ROUND_BYTES.saturating_sub(FAR_PER_ROUND * self.far_bytes);
+        let left = MAX_ROUND_BYTES.saturating_sub(REMOTES_PER_ROUND * self.far_bytes);
         let most = left / self.near_bytes.max(1);
-        most.clamp(LEAST_PER_ROUND, PER_ROUND)
+        most.clamp(MIN_NEIGHBORS_PER_ROUND, NEIGHBORS_PER_ROUND)
     }
 
     /// Forgets peers that have not been heard for some turns.
     fn forget_silent(&mut self, now: Millis) {
-        let far = self.peers.len().div_ceil(FAR_PER_ROUND) as u64;
-        let forget = FORGET.max(Millis(ROUND.0 * far * WORD_TURNS));
+        let far = self.peers.len().div_ceil(REMOTES_PER_ROUND) as u64;
+        let forget = FORGET.max(Millis(ROUND_INTERVAL.0 * far * WORD_TURNS));
         self.peers.retain(|_, peer| {
             let last = peer.heard.unwrap_or(peer.known_since);
             peer.is_seed || now - last < forget
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,8 +6,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, GossipMessage, PeerId, PeerTable, PromptPlacement, WorkScope, FAR_BYTES,
-    MOST_BYTES, ROUND, ROUND_BYTES,
+    encode_within, GossipMessage, PeerId, PeerTable, PromptPlacement, WorkScope,
+    MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, ROUND_INTERVAL,
 };
 
 /// One entry: its peers, and when the newest word on each entry's work was true.
@@ -72,7 +72,7 @@
 
     fn rounds(&mut self, count: usize) {
         for _ in 0..count {
-            self.now = self.now + ROUND;
+            self.now = self.now + ROUND_INTERVAL;
             for from in 0..self.entries.len() {
                 if self.entries[from].up {
                     self.tell(from);
@@ -100,9 +100,9 @@
     /// Length of a datagram; all of one kind are about as long.
     fn bytes(&mut self, from: usize, to: SocketAddr, work_scope: WorkScope) -> usize {
         let (kind, most) = match work_scope {
-            WorkScope::Sender => (0, MOST_BYTES),
-            WorkScope::Zone => (1, FAR_BYTES),
-            WorkScope::Nothing => (2, MOST_BYTES),
+            WorkScope::Sender => (0, MAX_DATAGRAM_BYTES),
+            WorkScope::Zone => (1, MAX_REMOTE_BYTES),
+            WorkScope::Nothing => (2, MAX_DATAGRAM_BYTES),
         };
         if self.lengths[kind] == 0 {
             let hello = busy(&mut self.entries[from], to, work_scope, self.busy_at);
@@ -279,7 +279,7 @@
             }
         }
         let most = sums.iter().max().unwrap() / 20;
-        assert!(most <= ROUND_BYTES, "{count}: {most} bytes a round");
+        assert!(most <= MAX_ROUND_BYTES, "{count}: {most} bytes a round");
     }
 }
 
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -9,8 +9,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    self, GossipMessage, PeerId, PeerTable, PromptPlacement, RecentPlacements, MOST_BYTES,
-    PER_ROUND, ROUND,
+    self, GossipMessage, PeerId, PeerTable, PromptPlacement, RecentPlacements, MAX_DATAGRAM_BYTES,
+    NEIGHBORS_PER_ROUND, ROUND_INTERVAL,
 };
 
 fn address(i: u8) -> SocketAddr {
@@ -40,7 +40,7 @@
     fn rounds(&mut self, count: u32) -> usize {
         let mut sent = 0;
         for _ in 0..count {
-            self.now = self.now + ROUND;
+            self.now = self.now + ROUND_INTERVAL;
             let mut up: Vec<SocketAddr> = self.books.keys().copied().collect();
             up.retain(|a| !self.down.contains(a));
             for from in up {
@@ -272,7 +272,7 @@
     arbtest::arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         if let Some(hello) = peers::decode(&bytes) {
-            assert!(peers::encode(&hello).is_some_and(|again| again.len() <= MOST_BYTES));
+            assert!(peers::encode(&hello).is_some_and(|again| again.len() <= MAX_DATAGRAM_BYTES));
         }
         Ok(())
     });
@@ -297,7 +297,7 @@
         })
         .collect();
     let bytes = peers::encode(&sent).unwrap();
-    assert!(bytes.len() <= MOST_BYTES);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     let heard = peers::decode(&bytes).unwrap();
     assert_eq!((heard.number, heard.proof_age_ms), (9, Some(70)));
     assert!(heard.work.len() > 100);
@@ -329,8 +329,8 @@
     }
     sent.placements = recent.since(Millis(0), 12);
     let length = peers::encode(&sent).unwrap().len();
-    let rounds_per_s = 1_000 / ROUND.0;
-    let per_s = length * PER_ROUND * rounds_per_s as usize;
+    let rounds_per_s = 1_000 / ROUND_INTERVAL.0;
+    let per_s = length * NEIGHBORS_PER_ROUND * rounds_per_s as usize;
     assert!(per_s <= 28 << 10, "{length} bytes, {per_s} a second");
 }
 
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND};
+use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND_INTERVAL};
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
 
@@ -150,7 +150,7 @@
             refused: 0,
         };
         for i in 0..day.entries {
-            let phase = fleet.rng.gen_range(0..ROUND.0);
+            let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
         if day.again > 0 {
@@ -215,7 +215,7 @@
     }
 
     fn round(&mut self, i: usize) {
-        self.at(self.now + ROUND.0, Event::Round(i));
+        self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         let now = self.time();
         if !self.members[i].quarantine.judge(now).is_empty() {
             self.wake(i);
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -11,7 +11,9 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
-use violetline::direct::peers::{Coordinator, GossipMessage, PeerTable, WorkScope, ZoneId, ROUND};
+use violetline::direct::peers::{
+    Coordinator, GossipMessage, PeerTable, WorkScope, ZoneId, ROUND_INTERVAL,
+};
 use violetline::rate::Rate;
 
 pub use self::day::{Day, Traffic, Trouble};
@@ -142,7 +144,7 @@
             to_free: 0,
         };
         for i in 0..day.entries {
-            let phase = fleet.rng.gen_range(0..ROUND.0);
+            let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
         fleet
@@ -225,7 +227,7 @@
     }
 
     fn round(&mut self, i: usize) {
-        self.at(self.now + ROUND.0, Event::Round(i));
+        self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         if !self.members[i].is_up {
             return;
         }
