--- a/src/direct/changes.rs
+++ b/src/direct/changes.rs
@@ -27,7 +27,7 @@
     up_to: Revision,
     kept: VecDeque<Change>,
     /// Spans that are known from listings, the oldest first.
-    spans: VecDeque<ListedSpan>,
+    spans: VecDeque<ListingSpan>,
 }
 
 /// Part of the history that is known from a whole listing at its end.
@@ -35,14 +35,14 @@
 /// A listing tells what is there, compared with what was known at the start of the span. It does not tell of
 /// endpoints that came or left within the span, so its changes lead on from the start alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListedSpan {
+pub struct ListingSpan {
     /// Its start.
     pub after: Revision,
     /// Its end.
     pub up_to: Revision,
 }
 
-impl ListedSpan {
+impl ListingSpan {
     /// Whether a list that is complete up to a revision lacks changes that the listing does not tell.
     const fn splits_at(&self, revision: Revision) -> bool {
         self.after < revision && revision < self.up_to
@@ -51,7 +51,7 @@
 
 /// What one entry passes to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedOn {
+pub struct ChangeBatch {
     /// Changes, the oldest first.
     pub changes: Vec<Change>,
     /// Revision up to which they are complete.
@@ -59,18 +59,18 @@
     /// Spans among them that are known from listings; written behind the rest, and only where there are any, so
     /// that entries of earlier versions read all other messages and no such one.
     #[serde(skip)]
-    pub spans: Vec<ListedSpan>,
+    pub spans: Vec<ListingSpan>,
 }
 
-impl PassedOn {
+impl ChangeBatch {
     /// A whole listing, as the changes that make it of an empty one.
-    pub fn of_listing(listing: Listing, up_to: Revision) -> Self {
+    pub fn from_listing(listing: Listing, up_to: Revision) -> Self {
         let endpoints = listing.endpoints.into_iter().map(Change::Put);
         let cordons = listing.cordons.into_iter().map(Change::Cordoned);
         Self {
             changes: endpoints.chain(cordons).collect(),
             up_to,
-            spans: vec![ListedSpan { after: 0, up_to }],
+            spans: vec![ListingSpan { after: 0, up_to }],
         }
     }
 
@@ -88,20 +88,20 @@
     }
 
     /// Whether the changes lead on from a list that is complete up to a revision.
-    pub fn leads_on_from(&self, revision: Revision) -> bool {
+    pub fn applies_to(&self, revision: Revision) -> bool {
         !self.spans.iter().any(|span| span.splits_at(revision))
     }
 }
 
 impl ChangeLog {
     /// Keeps what a listing changed in a list that was complete up to a revision.
-    pub fn keep_listing(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
-        self.keep(after, up_to, changes);
-        self.keep_spans(&[ListedSpan { after, up_to }]);
+    pub fn append_listing(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
+        self.append(after, up_to, changes);
+        self.append_spans(&[ListingSpan { after, up_to }]);
     }
 
     /// Spans among the changes that were kept last are known from listings.
-    pub fn keep_spans(&mut self, spans: &[ListedSpan]) {
+    pub fn append_spans(&mut self, spans: &[ListingSpan]) {
         self.spans.extend(spans);
         while self.spans.len() > MOST_SPANS {
             if let Some(oldest) = self.spans.pop_front() {
@@ -113,7 +113,7 @@
     }
 
     /// Keeps all changes after a revision, up to another one.
-    pub fn keep(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
+    pub fn append(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
         if self.up_to != after {
             self.kept.clear();
             self.spans.clear();
@@ -135,23 +135,23 @@
     }
 
     /// All changes after a revision; `None` when some of them are not kept, or there are none.
-    pub fn since(&self, revision: Revision) -> Option<PassedOn> {
+    pub fn since(&self, revision: Revision) -> Option<ChangeBatch> {
         if self.after > revision || self.up_to <= revision {
             return None;
         }
         let newer = self.kept.iter().filter(|c| c.revision() > revision);
         let spans = self.spans.iter().filter(|span| span.up_to > revision);
-        let passed = PassedOn {
+        let passed = ChangeBatch {
             changes: newer.cloned().collect(),
             up_to: self.up_to,
             spans: spans.copied().collect(),
         };
-        passed.leads_on_from(revision).then_some(passed)
+        passed.applies_to(revision).then_some(passed)
     }
 }
 
 /// Writes changes for another entry, compressed; `None` when they can't be written.
-pub fn encode(passed: &PassedOn) -> Option<Vec<u8>> {
+pub fn encode(passed: &ChangeBatch) -> Option<Vec<u8>> {
     let config = bincode::config::standard();
     let mut plain = bincode::serde::encode_to_vec(passed, config).ok()?;
     if !passed.spans.is_empty() {
@@ -161,10 +161,10 @@
 }
 
 /// Reads what another entry passed on; `None` when it is not of this kind or too long.
-pub fn decode(bytes: &[u8]) -> Option<PassedOn> {
+pub fn decode(bytes: &[u8]) -> Option<ChangeBatch> {
     let plain = zstd::bulk::decompress(bytes, MOST_PLAIN).ok()?;
     let config = bincode::config::standard().with_limit::<MOST_PLAIN>();
-    let (mut passed, read): (PassedOn, _) =
+    let (mut passed, read): (ChangeBatch, _) =
         bincode::serde::decode_from_slice(&plain, config).ok()?;
     let rest = &plain[read..];
     if rest.is_empty() {
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -6,7 +6,7 @@
 use super::Entry;
 use crate::clock::Millis;
 use crate::direct::catalog::Catalog;
-use crate::direct::changes::PassedOn;
+use crate::direct::changes::ChangeBatch;
 use crate::direct::decision::Decision;
 use crate::direct::dialect::{Ask, Unreadable};
 use crate::direct::directory::Cordon;
@@ -140,7 +140,7 @@
         if begun > before {
             let changes = self.directory.borrow().changes_to(&listed, before, begun);
             let mut log = self.changes.borrow_mut();
-            log.keep_listing(before, begun, &changes);
+            log.append_listing(before, begun, &changes);
         }
         let gone = self.directory.borrow_mut().replace(listed, begun, now);
         self.forget(&gone);
@@ -154,7 +154,7 @@
     /// Those that the list holds already are left out: an older entry of an endpoint that has left
     /// meanwhile would bring it back.
     pub fn take_changes(&self, changes: Vec<Change>, up_to: Revision) {
-        self.take_passed_on(PassedOn {
+        self.take_passed_on(ChangeBatch {
             changes,
             up_to,
             spans: Vec::new(),
@@ -163,21 +163,21 @@
 
     /// Takes the changes that a peer passed on. The list may have got further since the peer was asked, into a span that
     /// the peer knows from a listing: they do not lead on from here then, and the store is asked.
-    pub fn take_passed_on(&self, passed: PassedOn) {
+    pub fn take_passed_on(&self, passed: ChangeBatch) {
         let before = self.listed_up_to.get();
-        let PassedOn { up_to, .. } = passed;
+        let ChangeBatch { up_to, .. } = passed;
         if up_to <= before {
             return;
         }
-        if !passed.leads_on_from(before) {
+        if !passed.applies_to(before) {
             self.watch_again.notify_one();
             return;
         }
         let mut changes = passed.changes;
         changes.retain(|change| change.revision() > before);
         let mut log = self.changes.borrow_mut();
-        log.keep(before, up_to, &changes);
-        log.keep_spans(&passed.spans);
+        log.append(before, up_to, &changes);
+        log.append_spans(&passed.spans);
         drop(log);
         for change in changes {
             self.take_change(change);
--- a/src/direct/entry/store.rs
+++ b/src/direct/entry/store.rs
@@ -5,7 +5,7 @@
 
 use super::Entry;
 use crate::clock::Millis;
-use crate::direct::changes::PassedOn;
+use crate::direct::changes::ChangeBatch;
 use crate::direct::decision::Decision;
 use crate::direct::directory::Revision;
 use crate::direct::sync::CallError;
@@ -91,17 +91,17 @@
     }
 
     /// Changes of the list after a revision, for a peer; `None` when they are not all kept here.
-    pub fn changes_since(&self, revision: Revision) -> Option<PassedOn> {
+    pub fn changes_since(&self, revision: Revision) -> Option<ChangeBatch> {
         self.changes.borrow().since(revision)
     }
 
     /// The whole list as it is known here, for a peer.
-    pub fn whole_list(&self) -> PassedOn {
-        PassedOn::of_listing(self.directory.borrow().listing(), self.listed_up_to.get())
+    pub fn whole_list(&self) -> ChangeBatch {
+        ChangeBatch::from_listing(self.directory.borrow().listing(), self.listed_up_to.get())
     }
 
     /// Takes the whole list of a peer that is ahead.
-    pub fn take_whole_list(&self, passed: PassedOn) {
+    pub fn take_whole_list(&self, passed: ChangeBatch) {
         let up_to = passed.up_to;
         if up_to > self.listed_up_to.get() {
             self.take_listing(passed.into_listing(), up_to);
--- a/tests/direct_changes.rs
+++ b/tests/direct_changes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::listed;
-use violetline::direct::changes::{self, ChangeLog, ListedSpan, PassedOn};
+use violetline::direct::changes::{self, ChangeBatch, ChangeLog, ListingSpan};
 use violetline::direct::directory::Change;
 
 /// A change that was written at a revision.
@@ -15,22 +15,22 @@
     Change::Put(listed(&format!("i-{revision}"), revision))
 }
 
-fn span((after, up_to): (u64, u64)) -> ListedSpan {
-    ListedSpan { after, up_to }
+fn span((after, up_to): (u64, u64)) -> ListingSpan {
+    ListingSpan { after, up_to }
 }
 
 /// A log that was told the changes between each two of the revisions.
 fn log(revisions: &[u64]) -> ChangeLog {
     let mut log = ChangeLog::default();
     for pair in revisions.windows(2) {
-        keep(&mut log, pair[0], pair[1]);
+        append(&mut log, pair[0], pair[1]);
     }
     log
 }
 
-fn keep(log: &mut ChangeLog, after: u64, up_to: u64) {
+fn append(log: &mut ChangeLog, after: u64, up_to: u64) {
     let changes: Vec<Change> = (after + 1..=up_to).map(change).collect();
-    log.keep(after, up_to, &changes);
+    log.append(after, up_to, &changes);
 }
 
 fn since(log: &ChangeLog, revision: u64) -> Option<Vec<u64>> {
@@ -57,7 +57,7 @@
 #[test]
 fn gap_forgets() {
     let mut log = log(&[3, 5]);
-    keep(&mut log, 7, 8);
+    append(&mut log, 7, 8);
     assert_eq!(since(&log, 3), None);
     assert_eq!(since(&log, 7).unwrap(), [8]);
 }
@@ -66,8 +66,8 @@
 #[test]
 fn quiet_stretch() {
     let mut log = log(&[3, 5]);
-    log.keep(5, 8, &[]);
-    keep(&mut log, 8, 9);
+    log.append(5, 8, &[]);
+    append(&mut log, 8, 9);
     assert_eq!(since(&log, 3).unwrap(), [4, 5, 9]);
     assert_eq!(since(&log, 6).unwrap(), [9]);
 }
@@ -76,8 +76,8 @@
 #[test]
 fn within_listing() {
     let mut log = ChangeLog::default();
-    log.keep_listing(3, 9, &[change(5)]);
-    keep(&mut log, 9, 10);
+    log.append_listing(3, 9, &[change(5)]);
+    append(&mut log, 9, 10);
     assert_eq!(since(&log, 3).unwrap(), [5, 10]);
     assert_eq!(since(&log, 4), None);
     assert_eq!(since(&log, 8), None);
@@ -91,7 +91,7 @@
 fn many_listings() {
     let mut log = ChangeLog::default();
     for i in 0..100 {
-        log.keep_listing(i * 2, i * 2 + 2, &[]);
+        log.append_listing(i * 2, i * 2 + 2, &[]);
     }
     assert_eq!(log.after(), 72);
     assert_eq!(log.since(72).unwrap().spans.len(), 64);
@@ -102,8 +102,8 @@
 #[test]
 fn kept_bounded() {
     let mut log = ChangeLog::default();
-    keep(&mut log, 0, 1_500);
-    keep(&mut log, 1_500, 3_000);
+    append(&mut log, 0, 1_500);
+    append(&mut log, 1_500, 3_000);
     assert_eq!(since(&log, 999), None);
     assert_eq!(since(&log, 1_000).unwrap().len(), 2_000);
 }
@@ -113,8 +113,8 @@
 #[test]
 fn dropped_in_disorder() {
     let mut log = ChangeLog::default();
-    log.keep(0, 10, &[change(9), change(3), change(5)]);
-    keep(&mut log, 10, 2_009);
+    log.append(0, 10, &[change(9), change(3), change(5)]);
+    append(&mut log, 10, 2_009);
     assert_eq!(since(&log, 3), None);
     assert_eq!(log.after(), 9);
 }
@@ -128,7 +128,7 @@
             assert!(changes::encode(&passed).is_some());
         }
         let revisions: Vec<u64> = u.arbitrary()?;
-        let passed = PassedOn {
+        let passed = ChangeBatch {
             changes: revisions.into_iter().map(change).collect(),
             up_to: u.arbitrary()?,
             spans: u
