--- a/benches/configuration.rs
+++ b/benches/configuration.rs
@@ -60,7 +60,9 @@
 #[divan::bench(args = ROUTES)]
 fn make_patch(bencher: Bencher<'_, '_>, routes: usize) {
     let (old, new) = (catalog(1, routes), catalog(2, routes));
-    bencher.bench_local(|| Patch::between(&old, &new).and_then(|patch| versions::write(&patch)));
+    bencher.bench_local(|| {
+        Patch::between(&old, &new).and_then(|patch| versions::encode_compressed(&patch))
+    });
 }
 
 #[divan::bench(args = ROUTES)]
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -14,7 +14,7 @@
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
 use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
-use crate::direct::versions::{self, Newer, WrittenPatch};
+use crate::direct::versions::{self, EncodedPatch, VersionUpdate};
 
 /// Keys of unreadable entries that are remembered, so that each is logged once.
 const MOST_UNREADABLE: usize = 1_000;
@@ -82,13 +82,13 @@
     }
 
     /// Takes what a peer passed on, as far as it is newer; false when it does not lead on from here.
-    pub fn take_newer(&self, newer: Newer, from: &str) -> bool {
+    pub fn take_newer(&self, newer: VersionUpdate, from: &str) -> bool {
         let (patches, written) = match newer {
-            Newer::Whole(catalog) => {
+            VersionUpdate::Full(catalog) => {
                 self.take_catalog(catalog, from);
                 return true;
             }
-            Newer::Patches(patches, written) => (patches, written),
+            VersionUpdate::Patches(patches, written) => (patches, written),
         };
         let Some(own) = self.catalog() else {
             return false;
@@ -102,17 +102,17 @@
             return false;
         };
         let kept = patches.iter().zip(written).skip(first);
-        let kept = kept.map(|(patch, text)| WrittenPatch {
+        let kept = kept.map(|(patch, payload)| EncodedPatch {
             base: patch.base,
             version: patch.version,
-            text,
+            payload,
         });
         self.put_in_force(catalog, kept.collect(), from);
         true
     }
 
     /// Puts a newer version in force; `patches` lead to it from the one before.
-    fn put_in_force(&self, catalog: Catalog, patches: Vec<WrittenPatch>, from: &str) {
+    fn put_in_force(&self, catalog: Catalog, patches: Vec<EncodedPatch>, from: &str) {
         self.log.belief(Decision::CatalogInForce {
             version: catalog.version,
             before: self.version(),
@@ -325,12 +325,12 @@
 
 /// The new version made of the old one, so that they share what did not change, and the patch for
 /// peers; `None` where there can't be one.
-fn patched(old: &Catalog, new: &Catalog) -> Option<(Catalog, WrittenPatch)> {
+fn patched(old: &Catalog, new: &Catalog) -> Option<(Catalog, EncodedPatch)> {
     let patch = Patch::between(old, new)?;
-    let written = WrittenPatch {
+    let written = EncodedPatch {
         base: patch.base,
         version: patch.version,
-        text: versions::write(&patch)?,
+        payload: versions::encode_compressed(&patch)?,
     };
     let catalog = Patch::apply_all(&[patch], old)?;
     Some((catalog, written))
--- a/tests/direct_versions.rs
+++ b/tests/direct_versions.rs
@@ -11,7 +11,7 @@
 use violetline::direct::catalog::{CallerLimits, Catalog, CatalogParts, Pool, Route, Team};
 use violetline::direct::entry::Entry;
 use violetline::direct::patch::Patch;
-use violetline::direct::versions::{self, Newer, VersionLog, WrittenPatch};
+use violetline::direct::versions::{self, EncodedPatch, VersionLog, VersionUpdate};
 
 /// Routes of the large configurations.
 const MANY: usize = 10_000;
@@ -87,7 +87,7 @@
     }
     // Four patches at once, from an entry that has them from a peer itself.
     let update = entries[1].catalog_since(1).unwrap();
-    let Some(Newer::Patches(patches, _)) = versions::decode(&update) else {
+    let Some(VersionUpdate::Patches(patches, _)) = versions::decode(&update) else {
         panic!("patches");
     };
     assert_eq!(patches.len(), 4);
@@ -124,7 +124,7 @@
         let update = first.catalog_since(version).unwrap();
         assert!(matches!(
             versions::decode(&update),
-            Some(Newer::Whole(catalog)) if catalog.version == 6 && catalog.routes.len() == 20
+            Some(VersionUpdate::Full(catalog)) if catalog.version == 6 && catalog.routes.len() == 20
         ));
     }
 }
@@ -151,10 +151,10 @@
 fn kept_bounded() {
     let mut log = VersionLog::default();
     for version in 0..8 {
-        log.advance(vec![WrittenPatch {
+        log.advance(vec![EncodedPatch {
             base: version,
             version: version + 1,
-            text: Bytes::from(vec![0; 200 << 10]),
+            payload: Bytes::from(vec![0; 200 << 10]),
         }]);
     }
     let catalog = large(8, 1, 1);
