--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -37,7 +37,7 @@
 const REPEATS: u8 = 48;
 
 /// Tells some peers each round.
-pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
+pub async fn send_rounds(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut rounds = 0;
     let mut next = Instant::now() + ROUND_INTERVAL.duration();
     loop {
@@ -156,7 +156,7 @@
 }
 
 /// Hears peers.
-pub async fn hear(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
+pub async fn receive(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -100,11 +100,11 @@
     supervisor.child("prove", move || sync::prove(Rc::clone(&cx)));
     let (cx, socket) = (Rc::clone(entry), Rc::clone(&link));
     supervisor.child("tell", move || {
-        gossip::tell(Rc::clone(&cx), Rc::clone(&socket))
+        gossip::send_rounds(Rc::clone(&cx), Rc::clone(&socket))
     });
     let cx = Rc::clone(entry);
     supervisor.child("hear", move || {
-        gossip::hear(Rc::clone(&cx), Rc::clone(&link))
+        gossip::receive(Rc::clone(&cx), Rc::clone(&link))
     });
 }
 
--- a/src/direct/sync/client.rs
+++ b/src/direct/sync/client.rs
@@ -28,7 +28,7 @@
     /// The connection failed.
     Connection(Failure),
     /// No answer in time, or it stopped arriving.
-    Silent,
+    TimedOut,
     /// The answer can't be used.
     Unusable(Unusable),
 }
@@ -37,7 +37,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Connection(failure) => write!(f, "connection: {failure:?}"),
-            Self::Silent => f.write_str("no answer in time"),
+            Self::TimedOut => f.write_str("no answer in time"),
             Self::Unusable(why) => write!(f, "unusable answer: {why}"),
         }
     }
@@ -87,7 +87,7 @@
     pub async fn begin(&self, head: RequestHead, time: Duration) -> Result<Arriving, CallError> {
         self.received.set(0);
         let begun = timeout(time, self.exchange(head)).await;
-        let reply = begun.map_err(|_| CallError::Silent)?;
+        let reply = begun.map_err(|_| CallError::TimedOut)?;
         reply.map(Arriving).map_err(CallError::Connection)
     }
 
@@ -99,7 +99,7 @@
         arrived: impl Fn(u64),
     ) -> Result<(StatusCode, Bytes), CallError> {
         let reading = timeout(LONGEST, self.read_body(arriving.0, arrived));
-        reading.await.map_err(|_| CallError::Silent)?
+        reading.await.map_err(|_| CallError::TimedOut)?
     }
 
     async fn exchange(&self, head: RequestHead) -> Result<Reply, Failure> {
@@ -119,7 +119,7 @@
         let mut body = BytesMut::new();
         loop {
             let piece = timeout(STALL, reply.chunk()).await;
-            let piece = piece.map_err(|_| CallError::Silent)?;
+            let piece = piece.map_err(|_| CallError::TimedOut)?;
             let Some(piece) = piece.map_err(CallError::Connection)? else {
                 break;
             };
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -21,7 +21,7 @@
 
 pub use self::client::{Arriving, CallError, StoreClient};
 pub use self::follow::follow;
-pub use self::prove::{prove, until_question};
+pub use self::prove::{prove, time_until_proof_due};
 pub use self::reading::{Document, Reading};
 use crate::clock::Millis;
 use crate::direct::entry::Entry;
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -71,7 +71,7 @@
 async fn wait_until_due(entry: &Entry) {
     let spread = Millis(rand::thread_rng().gen_range(0..PROVE_SPREAD_MS));
     loop {
-        match until_question(entry, spread) {
+        match time_until_proof_due(entry, spread) {
             Millis(0) => return,
             wait => sleep(wait.duration()).await,
         }
@@ -82,7 +82,7 @@
 ///
 /// While the store is away it is asked on, whatever peers prove: its return has to be noticed, since
 /// lapsed endpoints are only waited for from then on.
-pub fn until_question(entry: &Entry, spread: Millis) -> Millis {
+pub fn time_until_proof_due(entry: &Entry, spread: Millis) -> Millis {
     if entry.store_is_away() {
         return Millis(0);
     }
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -10,7 +10,7 @@
 use violetline::direct::directory::{Change, ListedEndpoint};
 use violetline::direct::entry::Entry;
 use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
-use violetline::direct::sync::{until_question, CallError};
+use violetline::direct::sync::{time_until_proof_due, CallError};
 
 fn asks_again(entry: &Entry) -> bool {
     entry.watch_again.notified().now_or_never().is_some()
@@ -73,15 +73,15 @@
     entry.store_answered();
     entry.set_watching(true);
     entry.prove_by_peer(Millis(1_000), Millis(0));
-    assert_eq!(until_question(&entry, Millis(0)), Millis(600));
-    entry.store_failed(&CallError::Silent);
-    assert_eq!(until_question(&entry, Millis(0)), Millis(0));
+    assert_eq!(time_until_proof_due(&entry, Millis(0)), Millis(600));
+    entry.store_failed(&CallError::TimedOut);
+    assert_eq!(time_until_proof_due(&entry, Millis(0)), Millis(0));
     entry.store_answered();
-    assert_eq!(until_question(&entry, Millis(700)), Millis(1_300));
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(1_300));
     entry.set_watching(false);
-    assert_eq!(until_question(&entry, Millis(700)), Millis(2_900));
-    entry.store_failed(&CallError::Silent);
-    assert_eq!(until_question(&entry, Millis(700)), Millis(0));
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(2_900));
+    entry.store_failed(&CallError::TimedOut);
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(0));
 }
 
 /// A question to the store proves the configuration, whatever is known of endpoints meanwhile.
