--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -75,7 +75,7 @@
 
 /// What a day is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct Day {
+pub struct Scenario {
     pub entries: usize,
     pub engines: usize,
     /// Innocent requests a second.
@@ -91,7 +91,7 @@
 }
 
 pub struct Fleet {
-    day: Day,
+    day: Scenario,
     pub members: Vec<Member>,
     by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<std::cmp::Reverse<(u64, Event)>>,
@@ -111,7 +111,7 @@
 }
 
 /// The request that ends engines; others are innocent.
-pub const KILLER: usize = 0;
+pub const CRASHING_REQUEST: usize = 0;
 /// Zones of the fleet.
 pub const ZONES: usize = 12;
 
@@ -129,7 +129,7 @@
 }
 
 impl Fleet {
-    pub fn new(day: Day) -> Self {
+    pub fn new(day: Scenario) -> Self {
         let zones = if day.entries > 30 { ZONES } else { 3 };
         let members = (0..day.entries).map(|i| member(i, day, zones));
         let mut fleet = Self {
@@ -203,7 +203,7 @@
             Event::Ends(engine) => self.engine_ends(engine),
             Event::Back(engine) => self.lives[engine] += 1,
             Event::Again => {
-                self.comes(KILLER);
+                self.comes(CRASHING_REQUEST);
                 let next = self.now + self.day.again;
                 self.at(next, Event::Again);
             }
@@ -294,7 +294,7 @@
                 return;
             }
             Standing::UnderWay { ends, .. } if ends >= 2 => {
-                if request != KILLER {
+                if request != CRASHING_REQUEST {
                     self.at(self.now + COMES_AGAIN, Event::Comes(request));
                 }
                 return;
@@ -320,7 +320,7 @@
         };
         self.next_run += 1;
         self.runs.insert(self.next_run, run);
-        if request == KILLER {
+        if request == CRASHING_REQUEST {
             self.reached.push(self.now);
             self.at(self.now + CRASHES_AFTER, Event::Ends(engine));
         } else {
@@ -356,7 +356,7 @@
             .collect();
         for number in lost {
             let run = self.runs.remove(&number).unwrap();
-            if run.request == KILLER {
+            if run.request == CRASHING_REQUEST {
                 self.ended.push(self.now);
             } else {
                 self.requests[run.request].lost += 1;
@@ -403,9 +403,9 @@
 
 fn member(
     i: usize,
-    Day {
+    Scenario {
         entries, engines, ..
-    }: Day,
+    }: Scenario,
     zones: usize,
 ) -> Member {
     let mut book = PeerTable::new(address(i), &[], i as u32);
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -6,11 +6,11 @@
 
 use std::collections::BTreeMap;
 
-use fleet::{Day, Fleet, KILLER};
+use fleet::{Fleet, Scenario, CRASHING_REQUEST};
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Notice, Quarantine, Standing, MOST_NOTICES};
 
-const KILLING: Day = Day {
+const KILLING: Scenario = Scenario {
     entries: 3,
     engines: 9,
     rate: 50,
@@ -30,7 +30,7 @@
     let mut seen = BTreeMap::new();
     for (entries, engines, rate) in SIZES {
         for again in [60, 300, 1_500] {
-            let mut fleet = Fleet::new(Day {
+            let mut fleet = Fleet::new(Scenario {
                 entries,
                 engines,
                 rate,
@@ -59,7 +59,7 @@
     let mut lost = 0;
     for seed in 0..6 {
         for (ends, rack) in [(1, 0), (2, 0), (0, 4), (1, 5), (0, 8)] {
-            let mut fleet = Fleet::new(Day {
+            let mut fleet = Fleet::new(Scenario {
                 again: 0,
                 ends,
                 rack,
@@ -86,7 +86,7 @@
     let mut lost = 0;
     for seed in 0..6 {
         for (entries, engines, rate) in [(3, 9, 50), (30, 56, 300)] {
-            let mut fleet = Fleet::new(Day {
+            let mut fleet = Fleet::new(Scenario {
                 entries,
                 engines,
                 rate,
@@ -123,6 +123,6 @@
     told.iter().for_each(|notice: &Notice| {
         fresh.take(notice, now);
     });
-    let standing = fresh.standing(Fingerprint(KILLER as u64), now);
+    let standing = fresh.standing(Fingerprint(CRASHING_REQUEST as u64), now);
     assert!(matches!(standing, Standing::Refused { .. }));
 }
