--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -4,10 +4,10 @@
 
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::decision::{Decision, RefusedWhy};
-use crate::direct::dialect::{Ask, Refusal};
+use crate::direct::decision::{Decision, RefusalReason};
+use crate::direct::dialect::{ParsedRequest, Refusal};
 use crate::direct::entry::{Entry, Life};
-use crate::direct::intake::Incoming;
+use crate::direct::intake::IncomingRequest;
 use crate::direct::resolve::Denied;
 
 /// Advice while this entry can't decide; another entry can.
@@ -17,11 +17,11 @@
 pub async fn deny(
     entry: &Entry,
     answerer: &mut Answerer,
-    ask: &Ask,
-    incoming: &Incoming,
+    ask: &ParsedRequest,
+    incoming: &IncomingRequest,
     denied: Denied,
 ) -> bool {
-    log(entry, ask, incoming, RefusedWhy::Denied(denied), None);
+    log(entry, ask, incoming, RefusalReason::Denied(denied), None);
     let refusal = match denied {
         Denied::NoRoute => Refusal::NoRoute,
         Denied::NoKey => Refusal::NoKey,
@@ -35,12 +35,12 @@
     entry: &Entry,
     answerer: &mut Answerer,
     refusal: Refusal,
-    ask: Option<&Ask>,
+    ask: Option<&ParsedRequest>,
 ) -> bool {
     let head = entry.dialect.refusal(refusal, ask.map(|ask| &ask.id));
     let close = entry.life() != Life::Serving;
-    let written = answerer.whole(head, Bytes::new(), close).await;
-    written.is_ok() && answerer.is_kept()
+    let written = answerer.send_response(head, Bytes::new(), close).await;
+    written.is_ok() && answerer.keeps_connection()
 }
 
 /// What is told of a refused request that was allowed.
@@ -55,9 +55,9 @@
 /// Logs a refusal, `of` a request that was allowed or not.
 pub fn log(
     entry: &Entry,
-    ask: &Ask,
-    incoming: &Incoming,
-    why: RefusedWhy,
+    ask: &ParsedRequest,
+    incoming: &IncomingRequest,
+    why: RefusalReason,
     of: Option<AllowedRequest>,
 ) {
     let refused = Decision::Refused {
@@ -65,7 +65,7 @@
         target: format!("{}{}", ask.host, ask.path),
         catalog: entry.version(),
         proof_age_ms: entry.proof_age().map(|age| age.0),
-        held_ms: (entry.clock.now() - incoming.at).0,
+        held_ms: (entry.clock.now() - incoming.received_at).0,
         urgency: of.map(|of| of.urgency),
         free_endpoints: of.map(|of| of.free_endpoints),
     };
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -6,16 +6,16 @@
 use common::{catalog, route};
 use violetline::clock::Millis;
 use violetline::direct::catalog::{Catalog, Route};
-use violetline::direct::dialect::Ask;
+use violetline::direct::dialect::ParsedRequest;
 use violetline::direct::freshness::Freshness;
 use violetline::direct::resolve::{resolve, Allowed, Denied, Knowledge};
 
 const BOUND: Millis = Millis(4_750);
 
-fn ask(path: &str, key: Option<&str>) -> Ask {
-    Ask {
+fn ask(path: &str, key: Option<&str>) -> ParsedRequest {
+    ParsedRequest {
         id: HeaderValue::from_static("1"),
-        patience: None,
+        caller_timeout: None,
         key: key.map(Into::into),
         host: "host.example".into(),
         path: path.into(),
@@ -33,7 +33,7 @@
     catalog(3, vec![route("keyed", "/k/"), public])
 }
 
-fn decide(proven: Option<u64>, now: u64, ask: &Ask) -> Result<Allowed, Denied> {
+fn decide(proven: Option<u64>, now: u64, ask: &ParsedRequest) -> Result<Allowed, Denied> {
     let catalog = routes();
     let mut freshness = Freshness::default();
     if let Some(at) = proven {
@@ -42,7 +42,7 @@
     let knowledge = Knowledge {
         catalog: Some(&catalog),
         freshness: &freshness,
-        key_proof_age: Some(BOUND),
+        max_key_proof_age: Some(BOUND),
     };
     resolve(knowledge, ask, Millis(now))
 }
@@ -81,7 +81,7 @@
     let knowledge = Knowledge {
         catalog: None,
         freshness: &Freshness::default(),
-        key_proof_age: None,
+        max_key_proof_age: None,
     };
     let denied = resolve(knowledge, &ask("/k/x", None), Millis(0));
     assert_eq!(denied, Err(Denied::NoCatalog));
