--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -15,7 +15,7 @@
 };
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
-pub use crate::direct::listed::{Change, Cordon, Listed, Listing, Revision};
+pub use crate::direct::listed::{Change, Cordon, ListedEndpoint, Listing, Revision};
 
 /// Time after the list's return within which live endpoints have written their entries again;
 /// the platform gives them about two seconds.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     /// Its newest entry.
-    pub listed: Listed,
+    pub listed: ListedEndpoint,
     /// Whether it takes new work.
     pub status: EndpointStatus,
     /// Digest of this life of it, for messages between entries.
@@ -372,7 +372,7 @@
 
     /// Takes an entry unless a newer one of the same endpoint is known. Returns the key of an earlier life
     /// of the endpoint: the new one holds and knows nothing of what that had.
-    fn put(&mut self, listed: Listed, now: Millis) -> Option<EndpointKey> {
+    fn put(&mut self, listed: ListedEndpoint, now: Millis) -> Option<EndpointKey> {
         let known = self.by_id.get(&listed.id).copied();
         let Some(key) = known else {
             self.insert(listed, now);
@@ -392,11 +392,11 @@
         }
         endpoint.status = listed_status(&listed);
         let born = listed.born.or(endpoint.listed.born);
-        endpoint.listed = Listed { born, ..listed };
+        endpoint.listed = ListedEndpoint { born, ..listed };
         None
     }
 
-    fn insert(&mut self, listed: Listed, now: Millis) {
+    fn insert(&mut self, listed: ListedEndpoint, now: Millis) {
         let id = listed.id.clone();
         let digest = digest(&id, listed.born);
         let mut endpoint = Endpoint {
@@ -446,7 +446,7 @@
 
     fn remove(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.arena.remove(key) {
-            let Listed { id, born, .. } = &endpoint.listed;
+            let ListedEndpoint { id, born, .. } = &endpoint.listed;
             self.former.keep(id, *born, endpoint.announced, now);
             self.by_id.remove(id);
             self.by_digest.remove(&endpoint.digest);
@@ -454,7 +454,7 @@
     }
 }
 
-const fn listed_status(listed: &Listed) -> EndpointStatus {
+const fn listed_status(listed: &ListedEndpoint) -> EndpointStatus {
     if listed.draining {
         EndpointStatus::Draining
     } else {
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use super::{Peer, PeerBook, ZoneId};
+use super::{Peer, PeerTable, ZoneId};
 use crate::clock::Millis;
 use crate::mix_bits::mix_bits;
 
@@ -32,7 +32,7 @@
     /// This one.
     Own {
         /// The part of the entries that it sees: others may decide for the rest, in another part of the fleet.
-        part: f64,
+        visible_share: f64,
         /// Whether who serves has not changed lately.
         is_settled: bool,
     },
@@ -52,7 +52,7 @@
     Silent,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// The coordinator of an endpoint in a zone, at an entry that runs since `started`. Among the entries of another zone those
     /// that `is_unanswered` are passed over; that never makes this entry the coordinator.
     pub fn coordinator(
@@ -88,14 +88,14 @@
                 peer.map_or(Coordinator::Unknown, |(_, peer)| Coordinator::Peer(peer))
             }
             _ => Coordinator::Own {
-                part: self.seen_part(started, now),
+                visible_share: self.visible_share(started, now),
                 is_settled: now >= self.changed + SETTLED,
             },
         }
     }
 
     /// Notes whether other entries serve than in the last round, and whether this one still does.
-    pub fn note_serving(&mut self, is_leaving: bool, now: Millis) {
+    pub fn update_serving_peers(&mut self, is_leaving: bool, now: Millis) {
         let serving = self.serving_peers(now);
         let near = serving.filter(|(_, peer)| self.is_near(peer));
         let serving: BTreeSet<SocketAddr> = near.map(|(address, _)| address).collect();
@@ -167,7 +167,7 @@
     }
 
     /// The part of the neighbours that are heard, of all that were heard lately and did not say that they stop.
-    fn seen_part(&self, started: Millis, now: Millis) -> f64 {
+    fn visible_share(&self, started: Millis, now: Millis) -> f64 {
         let heard_any = self.peers.values().any(|peer| peer.heard.is_some());
         if !heard_any && !self.peers.is_empty() && now < started + ALONE {
             return 1.0 / UNSEEN_FLEET;
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-use super::{Hello, Peer, PeerBook};
+use super::{GossipMessage, Peer, PeerTable};
 use crate::clock::Millis;
 
 /// Least number of entries that watch the store for all.
@@ -23,10 +23,10 @@
 /// Rounds through all peers in which a watcher must be heard.
 const WATCHER_CYCLES: u64 = 2;
 
-impl PeerBook {
+impl PeerTable {
     /// Whether this entry is to watch the store: too few of those that come before it in an order
     /// that all entries compute alike are known to do so.
-    pub fn is_watcher(&self, now: Millis) -> bool {
+    pub fn should_watch(&self, now: Millis) -> bool {
         let own = watch_rank(self.own, self.link_mbps);
         let watches = |peer: &Peer| self.is_near(peer) && self.is_heard_watcher(peer, now);
         let before = self
@@ -86,7 +86,7 @@
 }
 
 /// Whether a peer watches the store and is not cut off from it.
-pub(super) fn is_in_touch(hello: &Hello) -> bool {
+pub(super) fn is_in_touch(hello: &GossipMessage) -> bool {
     let proof = hello.proof_age_ms.map(Millis);
     let is_proven = proof.is_some_and(|age| age < WATCHER_PROOF);
     hello.watches && (is_proven || hello.reads_large)
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,15 +6,15 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    encode_within, Covers, Hello, PeerBook, PeerId, PlacedPrompt, FAR_BYTES, MOST_BYTES, ROUND,
-    ROUND_BYTES,
+    encode_within, GossipMessage, PeerId, PeerTable, PromptPlacement, WorkScope,
+    MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, ROUND_INTERVAL,
 };
 
 /// One entry: its peers, and when the newest word on each entry's work was true.
 struct Entry {
     address: SocketAddr,
     zone: usize,
-    book: PeerBook,
+    book: PeerTable,
     known: Vec<Option<Millis>>,
     up: bool,
     /// Bytes and datagrams of its last round.
@@ -50,7 +50,7 @@
     fn new(count: usize, zones: usize) -> Self {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let entry = |i: usize| {
-            let mut book = PeerBook::new(address(i), &seeds, (i * 7_919) as u32);
+            let mut book = PeerTable::new(address(i), &seeds, (i * 7_919) as u32);
             book.set_zone(&format!("zone-{}", i % zones));
             Entry {
                 address: address(i),
@@ -72,7 +72,7 @@
 
     fn rounds(&mut self, count: usize) {
         for _ in 0..count {
-            self.now = self.now + ROUND;
+            self.now = self.now + ROUND_INTERVAL;
             for from in 0..self.entries.len() {
                 if self.entries[from].up {
                     self.tell(from);
@@ -88,30 +88,30 @@
         let round = entry.book.round(false, now);
         entry.sent = (0, round.len());
         for tell in round {
-            let bytes = self.bytes(from, tell.to, tell.covers);
-            let hello = bare(&mut self.entries[from], tell.to, tell.covers, now);
+            let bytes = self.bytes(from, tell.to, tell.work_scope);
+            let hello = bare(&mut self.entries[from], tell.to, tell.work_scope, now);
             let entry = &mut self.entries[from];
             entry.sent.0 += bytes;
-            entry.book.sent_bytes(tell.covers, bytes);
+            entry.book.record_sent_bytes(tell.work_scope, bytes);
             self.arrive(from, tell.to, &hello);
         }
     }
 
     /// Length of a datagram; all of one kind are about as long.
-    fn bytes(&mut self, from: usize, to: SocketAddr, covers: Covers) -> usize {
-        let (kind, most) = match covers {
-            Covers::Sender => (0, MOST_BYTES),
-            Covers::Zone => (1, FAR_BYTES),
-            Covers::Nothing => (2, MOST_BYTES),
+    fn bytes(&mut self, from: usize, to: SocketAddr, work_scope: WorkScope) -> usize {
+        let (kind, most) = match work_scope {
+            WorkScope::Sender => (0, MAX_DATAGRAM_BYTES),
+            WorkScope::Zone => (1, MAX_REMOTE_BYTES),
+            WorkScope::Nothing => (2, MAX_DATAGRAM_BYTES),
         };
         if self.lengths[kind] == 0 {
-            let hello = busy(&mut self.entries[from], to, covers, self.busy_at);
+            let hello = busy(&mut self.entries[from], to, work_scope, self.busy_at);
             self.lengths[kind] = encode_within(&hello, most).unwrap().len();
         }
         self.lengths[kind]
     }
 
-    fn arrive(&mut self, from: usize, to: SocketAddr, hello: &Hello) {
+    fn arrive(&mut self, from: usize, to: SocketAddr, hello: &GossipMessage) {
         let now = self.now;
         let to = index(to);
         if !self.entries[to].up {
@@ -121,18 +121,18 @@
         if self.cut.contains(&way) {
             return;
         }
-        let told: Vec<(usize, Option<Millis>)> = match hello.covers {
-            Covers::Sender => vec![(from, Some(now))],
-            Covers::Zone => self.of_zone(from),
-            Covers::Nothing => Vec::new(),
+        let told: Vec<(usize, Option<Millis>)> = match hello.work_scope {
+            WorkScope::Sender => vec![(from, Some(now))],
+            WorkScope::Zone => self.of_zone(from),
+            WorkScope::Nothing => Vec::new(),
         };
         let receiver = &mut self.entries[to];
-        let heard = receiver.book.hear(address(from), hello, now);
+        let heard = receiver.book.record_message(address(from), hello, now);
         for (i, at) in told {
             receiver.known[i] = receiver.known[i].max(at);
         }
         if heard.is_new {
-            let answer = bare(receiver, address(from), Covers::Nothing, now);
+            let answer = bare(receiver, address(from), WorkScope::Nothing, now);
             self.arrive(to, address(from), &answer);
         }
     }
@@ -167,8 +167,8 @@
 }
 
 /// A datagram of an entry without work.
-fn bare(entry: &mut Entry, to: SocketAddr, covers: Covers, now: Millis) -> Hello {
-    Hello {
+fn bare(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, now: Millis) -> GossipMessage {
+    GossipMessage {
         from: PeerId(u64::from(entry.address.port())),
         number: entry.book.next_number(now),
         echo: entry.book.echo(to),
@@ -183,16 +183,16 @@
         link_mbps: 20,
         zone: entry.book.zone(),
         zone_entries: entry.book.zone_entries(now),
-        asks: false,
-        others: entry.book.others(to, now),
-        covers,
+        wants_reply: false,
+        peer_addresses: entry.book.peer_addresses(to, now),
+        work_scope,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
 
 /// A datagram of a busy entry: work at some endpoints, or at 100 of the zone, and placements.
-fn busy(entry: &mut Entry, to: SocketAddr, covers: Covers, busy_at: u32) -> Hello {
+fn busy(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, busy_at: u32) -> GossipMessage {
     let work = Work {
         running: 2,
         unread: [0, 2_000, 7_000],
@@ -200,19 +200,19 @@
         delicate: 150,
         pressure: 30_000,
     };
-    let (endpoints, prompts) = match covers {
-        Covers::Sender => (busy_at, 8),
-        Covers::Zone => (100, 24),
-        Covers::Nothing => (0, 0),
+    let (endpoints, prompts) = match work_scope {
+        WorkScope::Sender => (busy_at, 8),
+        WorkScope::Zone => (100, 24),
+        WorkScope::Nothing => (0, 0),
     };
-    let placed = PlacedPrompt {
-        part: 1 << 47,
+    let placed = PromptPlacement {
+        segment_id: 1 << 47,
         endpoint: u32::MAX,
     };
-    Hello {
+    GossipMessage {
         work: (0..endpoints).map(|i| (u32::MAX - i, work)).collect(),
-        placed: vec![placed; prompts],
-        ..bare(entry, to, covers, Millis(0))
+        placements: vec![placed; prompts],
+        ..bare(entry, to, work_scope, Millis(0))
     }
 }
 
@@ -279,7 +279,7 @@
             }
         }
         let most = sums.iter().max().unwrap() / 20;
-        assert!(most <= ROUND_BYTES, "{count}: {most} bytes a round");
+        assert!(most <= MAX_ROUND_BYTES, "{count}: {most} bytes a round");
     }
 }
 
@@ -334,7 +334,7 @@
         fleet.rounds(60);
         let since = fleet.entries[0]
             .book
-            .placed_since(Covers::Sender, fleet.now);
+            .placements_since(WorkScope::Sender, fleet.now);
         if count <= 8 {
             assert_eq!(since, Millis(0), "{count}");
         } else {
@@ -360,7 +360,7 @@
         .count();
     assert_eq!(known, 40);
     let (word, blind) = (
-        fleet.entries[0].book.near_word(),
+        fleet.entries[0].book.neighbor_report_ttl(),
         fleet.entries[0].book.blind(fleet.now),
     );
     assert!(word >= Millis(1_500) && blind < word);
@@ -376,13 +376,13 @@
         let book = &fleet.entries[count / 2].book;
         if !near.is_empty() && zones < count {
             assert!(
-                part_of(&near, 0.9) < book.near_word().0,
+                part_of(&near, 0.9) < book.neighbor_report_ttl().0,
                 "{count} in {zones}"
             );
         }
         if !far.is_empty() {
             assert!(
-                part_of(&far, 0.9) < book.zone_word(fleet.now).0,
+                part_of(&far, 0.9) < book.zone_report_ttl(fleet.now).0,
                 "{count} in {zones}"
             );
         }
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -7,10 +7,10 @@
 use violetline::clock::Millis;
 use violetline::direct::changes;
 use violetline::direct::channel::ExchangeError;
-use violetline::direct::directory::{Change, Listed};
+use violetline::direct::directory::{Change, ListedEndpoint};
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, Hello, PeerId};
-use violetline::direct::sync::{until_question, CallError};
+use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
+use violetline::direct::sync::{time_until_proof_due, CallError};
 
 fn asks_again(entry: &Entry) -> bool {
     entry.watch_again.notified().now_or_never().is_some()
@@ -73,15 +73,15 @@
     entry.store_answered();
     entry.set_watching(true);
     entry.prove_by_peer(Millis(1_000), Millis(0));
-    assert_eq!(until_question(&entry, Millis(0)), Millis(600));
-    entry.store_failed(&CallError::Silent);
-    assert_eq!(until_question(&entry, Millis(0)), Millis(0));
+    assert_eq!(time_until_proof_due(&entry, Millis(0)), Millis(600));
+    entry.store_failed(&CallError::TimedOut);
+    assert_eq!(time_until_proof_due(&entry, Millis(0)), Millis(0));
     entry.store_answered();
-    assert_eq!(until_question(&entry, Millis(700)), Millis(1_300));
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(1_300));
     entry.set_watching(false);
-    assert_eq!(until_question(&entry, Millis(700)), Millis(2_900));
-    entry.store_failed(&CallError::Silent);
-    assert_eq!(until_question(&entry, Millis(700)), Millis(0));
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(2_900));
+    entry.store_failed(&CallError::TimedOut);
+    assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(0));
 }
 
 /// A question to the store proves the configuration, whatever is known of endpoints meanwhile.
@@ -209,7 +209,7 @@
 #[test]
 fn whole_list() {
     let (_, fresh) = entry();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("i-3", 6)
     };
@@ -240,7 +240,7 @@
             let peer = ([127, 0, 0, i], 1).into();
             let hello = watching_peer(u64::from(i));
             let mut peers = entry.peers.borrow_mut();
-            peers.hear(peer, &hello, entry.clock.now());
+            peers.record_message(peer, &hello, entry.clock.now());
         }
     };
     hear_watchers();
@@ -258,8 +258,8 @@
 }
 
 /// What an entry with a wide link tells that watches the store.
-fn watching_peer(id: u64) -> Hello {
-    Hello {
+fn watching_peer(id: u64) -> GossipMessage {
+    GossipMessage {
         from: PeerId(id),
         number: 1,
         echo: None,
@@ -274,10 +274,10 @@
         link_mbps: 200,
         zone: None,
         zone_entries: 1,
-        asks: false,
-        others: Vec::new(),
-        covers: Covers::Sender,
+        wants_reply: false,
+        peer_addresses: Vec::new(),
+        work_scope: WorkScope::Sender,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
