--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -11,15 +11,15 @@
 //!
 //! What entries tell each other ([`Notice`]) is a set: the same notice twice, or in another order, changes nothing.
 
-mod case;
-mod lives;
+mod ended;
+mod history;
 mod notice;
 mod notices;
 
 use std::collections::HashMap;
 
-use self::case::Case;
-use self::lives::Lives;
+use self::ended::EndedIncarnations;
+use self::history::RequestHistory;
 pub use self::notice::Notice;
 pub use self::notices::RecentNotices;
 use crate::clock::Millis;
@@ -29,23 +29,23 @@
 /// the other.
 pub const ENDS_TO_REFUSE: usize = 3;
 /// Ends in a row from which on it is refused however many other endpoints end meanwhile.
-const ENDS_AT_MOST: usize = 5;
+const ENDS_TO_REFUSE_ALWAYS: usize = 5;
 /// Ends in a row that two requests share from which on they do not run at the same time, since only ends under one alone
 /// tell which of them is the cause. Dozens share one end.
 pub const ENDS_TO_SEPARATE: usize = 2;
 /// Chance that an innocent request would have been at as many ends, up to which it is refused: three of three that
 /// end are enough among nine endpoints.
-const CHANCE: f64 = 0.002;
+const MAX_INNOCENT_CHANCE: f64 = 0.002;
 /// Time within which the same end is seen under several requests, by several entries.
-const SEEN_TOGETHER: Millis = Millis(200);
+const SAME_END_TOLERANCE: Millis = Millis(200);
 /// Time after its newest end in which what else ended is heard, before a request is judged: some rounds of a fleet of
 /// thirty.
-const JUDGED_AFTER: Millis = Millis(500);
+const EVALUATION_DELAY: Millis = Millis(500);
 /// Time after which one more copy may run although the last one has not ended: it is no longer taken for the
 /// cause of an end that comes.
 const TRIAL_TIME: Millis = Millis(1_500);
 /// Requests that are remembered; a full table takes 1.1 MB.
-const MOST_CASES: usize = 4_096;
+const MAX_HISTORIES: usize = 4_096;
 /// Notices in one message at most: with 17 bytes each they fit one packet on any path.
 pub const MAX_NOTICES_PER_MESSAGE: usize = 72;
 
@@ -126,39 +126,39 @@
 /// All requests under which endpoints ended, as one entry knows them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    cases: HashMap<Fingerprint, Case>,
+    histories: HashMap<Fingerprint, RequestHistory>,
     /// What peers are told.
     recent: RecentNotices,
     /// Endpoints that ended under any request.
-    lives: Lives,
+    ended: EndedIncarnations,
     /// When this process started, where ends from before may be told to it.
-    started: Option<Millis>,
+    process_started: Option<Millis>,
     /// Requests that may be the cause of ends, and when that is judged.
-    unjudged: HashMap<Fingerprint, Millis>,
+    unevaluated: HashMap<Fingerprint, Millis>,
 }
 
 impl Quarantine {
     /// That of a process that starts now: of ends from before it knows only what peers tell.
     pub fn started_at(now: Millis) -> Self {
         Self {
-            started: Some(now),
+            process_started: Some(now),
             ..Self::default()
         }
     }
 
     /// Whether a request may be sent at `now`.
     pub fn request_status(&self, request: Fingerprint, now: Millis) -> QuarantineStatus {
-        let Some(case) = self.cases.get(&request) else {
+        let Some(history) = self.histories.get(&request) else {
             return QuarantineStatus::Clear;
         };
-        let ends = case.in_a_row();
-        if ends == 0 && case.cause_since.is_none() {
+        let ends = history.consecutive_count();
+        if ends == 0 && history.cause_since.is_none() {
             return QuarantineStatus::Clear;
         }
-        if let Some(until) = Self::refused_until(case).filter(|until| now < *until) {
+        if let Some(until) = Self::refused_until(history).filter(|until| now < *until) {
             return QuarantineStatus::Refused { ends, until };
         }
-        if let Some(until) = self.unjudged.get(&request).copied() {
+        if let Some(until) = self.unevaluated.get(&request).copied() {
             return QuarantineStatus::MustWait {
                 ends,
                 began: None,
@@ -166,14 +166,14 @@
             };
         }
         // A run that began before the last end is that one, or was lost with it.
-        let begun = case.began.filter(|at| Some(*at) > case.last_end());
+        let begun = history.began.filter(|at| Some(*at) > history.last_end());
         match begun {
             Some(began) if now < began + TRIAL_TIME => QuarantineStatus::MustWait {
                 ends,
                 began: Some(began),
                 until: began + TRIAL_TIME,
             },
-            _ => match self.rival_until(request, case, now) {
+            _ => match self.rival_runs_until(request, history, now) {
                 Some(until) => QuarantineStatus::MustWait {
                     ends,
                     began: None,
@@ -185,14 +185,22 @@
     }
 
     /// Until when a request that was at the same ends is taken to run; `None` where none runs.
-    fn rival_until(&self, request: Fingerprint, case: &Case, now: Millis) -> Option<Millis> {
-        if case.in_a_row() < ENDS_TO_SEPARATE {
+    fn rival_runs_until(
+        &self,
+        request: Fingerprint,
+        history: &RequestHistory,
+        now: Millis,
+    ) -> Option<Millis> {
+        if history.consecutive_count() < ENDS_TO_SEPARATE {
             return None;
         }
-        let others = self.cases.iter().filter(|(other, _)| **other != request);
+        let others = self
+            .histories
+            .iter()
+            .filter(|(other, _)| **other != request);
         let rivals = others.filter(|(_, other)| {
             let is_open = other.cause_since.is_none();
-            is_open && other.in_a_row() >= ENDS_TO_SEPARATE && case.shares_ends(other)
+            is_open && other.consecutive_count() >= ENDS_TO_SEPARATE && history.shares_ends(other)
         });
         let began =
             rivals.filter_map(|(_, other)| other.began.filter(|at| Some(*at) > other.last_end()));
@@ -210,27 +218,27 @@
         &mut self,
         request: Fingerprint,
         end: EndpointEnd,
-        among: Option<PoolSnapshot>,
+        pool_snapshot: Option<PoolSnapshot>,
         now: Millis,
     ) -> Change {
-        self.make_room(request, now);
-        self.lives.note(&end, among);
-        let case = self.cases.entry(request).or_default();
-        if !case.add(end) {
+        self.make_room_for(request, now);
+        self.ended.record(&end, pool_snapshot);
+        let history = self.histories.entry(request).or_default();
+        if !history.add(end) {
             return Change::None;
         }
-        let ends = case.in_a_row();
+        let ends = history.consecutive_count();
         // A peer that missed an earlier end can't count them.
-        for end in &case.ends {
+        for end in &history.ends {
             self.recent
-                .add(Notice::of_end(request, end, now), ends, now);
+                .add(Notice::for_end(request, end, now), ends, now);
         }
-        if case.cause_since.is_some() {
-            let until = case.refused_until().unwrap_or(now);
+        if history.cause_since.is_some() {
+            let until = history.refused_until().unwrap_or(now);
             return Change::Refused { ends, until };
         }
         if ends >= ENDS_TO_REFUSE {
-            self.unjudged.insert(request, now + JUDGED_AFTER);
+            self.unevaluated.insert(request, now + EVALUATION_DELAY);
         }
         Change::Suspected { ends }
     }
@@ -240,14 +248,14 @@
     /// What ended at the same moment is heard some rounds later. Judged at once, one of 1,274 innocent requests was taken
     /// for the cause when a third of 56 endpoints ended together.
     pub fn evaluate_suspects(&mut self, now: Millis) -> Vec<Fingerprint> {
-        let due = self.unjudged.iter().filter(|(_, at)| now >= **at);
+        let due = self.unevaluated.iter().filter(|(_, at)| now >= **at);
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
         let mut refused = Vec::new();
         for request in due {
-            self.unjudged.remove(&request);
-            let case = self.cases.get(&request);
-            if case.is_some_and(|case| self.is_cause(request, case)) {
-                self.note_cause(request, now);
+            self.unevaluated.remove(&request);
+            let history = self.histories.get(&request);
+            if history.is_some_and(|history| self.is_cause(request, history)) {
+                self.mark_as_cause(request, now);
                 refused.push(request);
             }
         }
@@ -255,110 +263,120 @@
     }
 
     /// A request is taken for the cause: its ends speak against no other one from now on.
-    fn note_cause(&mut self, request: Fingerprint, now: Millis) {
-        let Some(case) = self.cases.get_mut(&request) else {
+    fn mark_as_cause(&mut self, request: Fingerprint, now: Millis) {
+        let Some(history) = self.histories.get_mut(&request) else {
             return;
         };
-        let since = case.cause_since.or(case.last_end()).unwrap_or(now);
-        case.cause_since = Some(since);
-        let notice = Notice::of_cause(request, since, now);
-        self.recent.add(notice, case.in_a_row(), now);
+        let since = history.cause_since.or(history.last_end()).unwrap_or(now);
+        history.cause_since = Some(since);
+        let notice = Notice::for_cause(request, since, now);
+        self.recent.add(notice, history.consecutive_count(), now);
     }
 
     /// A peer takes a request for the cause.
-    fn told_refused(&mut self, request: Fingerprint, since: Millis, now: Millis) -> Change {
-        self.make_room(request, now);
-        let case = self.cases.entry(request).or_default();
-        let is_settled = case.finished.is_some_and(|at| since <= at);
-        if case.cause_since.is_some() || is_settled {
+    fn apply_refusal(&mut self, request: Fingerprint, since: Millis, now: Millis) -> Change {
+        self.make_room_for(request, now);
+        let history = self.histories.entry(request).or_default();
+        let is_cleared = history.finished.is_some_and(|at| since <= at);
+        if history.cause_since.is_some() || is_cleared {
             return Change::None;
         }
-        case.cause_since = Some(since);
-        self.unjudged.remove(&request);
-        let ends = case.in_a_row();
-        let until = case.refused_until().unwrap_or(now);
+        history.cause_since = Some(since);
+        self.unevaluated.remove(&request);
+        let ends = history.consecutive_count();
+        let until = history.refused_until().unwrap_or(now);
         self.recent
-            .add(Notice::of_cause(request, since, now), ENDS_TO_REFUSE, now);
+            .add(Notice::for_cause(request, since, now), ENDS_TO_REFUSE, now);
         Change::Refused { ends, until }
     }
 
     /// Whether an end under a request is explained by another one that was there: by one that had been taken for the
     /// cause before, or that has gone on to end endpoints without this one.
-    fn is_explained(&self, request: Fingerprint, case: &Case, end: &EndpointEnd) -> bool {
-        let newest = case.last_end().unwrap_or_default();
-        let others = self.cases.iter().filter(|(other, _)| **other != request);
-        let mut there = others
+    fn is_explained(
+        &self,
+        request: Fingerprint,
+        history: &RequestHistory,
+        end: &EndpointEnd,
+    ) -> bool {
+        let newest = history.last_end().unwrap_or_default();
+        let others = self
+            .histories
+            .iter()
+            .filter(|(other, _)| **other != request);
+        let mut also_lost = others
             .map(|(_, other)| other)
             .filter(|other| other.ends.iter().any(|e| e.endpoint == end.endpoint));
-        there.any(|other| {
+        also_lost.any(|other| {
             let was_known = other
                 .cause_since
-                .is_some_and(|at| at + SEEN_TOGETHER < newest);
-            let went_on = other.last_end() > Some(newest + SEEN_TOGETHER);
-            was_known || (went_on && other.in_a_row() >= case.in_a_row())
+                .is_some_and(|at| at + SAME_END_TOLERANCE < newest);
+            let went_on = other.last_end() > Some(newest + SAME_END_TOLERANCE);
+            was_known || (went_on && other.consecutive_count() >= history.consecutive_count())
         })
     }
 
     /// Tells how many endpoints there are, for ends of endpoints whose pool is not known.
     pub fn set_endpoint_count(&mut self, count: usize) {
-        self.lives.endpoints = count;
+        self.ended.endpoint_count = count;
     }
 
     /// Until when a request is refused; `None` where it is not taken for the cause.
-    fn refused_until(case: &Case) -> Option<Millis> {
-        let until = case.refused_until()?;
-        case.cause_since.map(|_| until)
+    fn refused_until(history: &RequestHistory) -> Option<Millis> {
+        let until = history.refused_until()?;
+        history.cause_since.map(|_| until)
     }
 
     /// Whether ends in a row are taken for the work of the request: an innocent one would hardly have been at each of
     /// them.
-    fn is_cause(&self, request: Fingerprint, case: &Case) -> bool {
-        let row = case.row_of(|end| !self.is_explained(request, case, end));
-        if row.len() >= ENDS_AT_MOST {
+    fn is_cause(&self, request: Fingerprint, history: &RequestHistory) -> bool {
+        let consecutive =
+            history.consecutive_ends_where(|end| !self.is_explained(request, history, end));
+        if consecutive.len() >= ENDS_TO_REFUSE_ALWAYS {
             return true;
         }
-        let began = row.first().map(|end| end.began);
-        let is_from_before = self.started.is_some_and(|at| began <= Some(at));
-        if self.lives.endpoints == 0 || is_from_before {
+        let began = consecutive.first().map(|end| end.began);
+        let is_from_before = self.process_started.is_some_and(|at| began <= Some(at));
+        if self.ended.endpoint_count == 0 || is_from_before {
             return false;
         }
-        row.len() >= ENDS_TO_REFUSE && self.lives.chance(&row, &case.ends) <= CHANCE
+        consecutive.len() >= ENDS_TO_REFUSE
+            && self.ended.innocent_chance(&consecutive, &history.ends) <= MAX_INNOCENT_CHANCE
     }
 
     /// A request under suspicion was sent to an endpoint.
     pub fn record_start(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
-        let Some(case) = self.cases.get_mut(&request) else {
+        let Some(history) = self.histories.get_mut(&request) else {
             return Change::None;
         };
-        if case.ends.is_empty() || Some(at) <= case.began {
+        if history.ends.is_empty() || Some(at) <= history.began {
             return Change::None;
         }
-        case.began = Some(at);
+        history.began = Some(at);
         let notice = Notice::Began {
             request,
             began: (now - at).as_u32(),
         };
-        self.recent.add(notice, case.in_a_row(), now);
+        self.recent.add(notice, history.consecutive_count(), now);
         Change::Began
     }
 
     /// An endpoint finished a request.
     pub fn record_completion(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
-        let Some(case) = self.cases.get_mut(&request) else {
+        let Some(history) = self.histories.get_mut(&request) else {
             return Change::None;
         };
-        let before = case.ends.len();
-        case.ends.retain(|end| end.ended > at);
-        case.finished = case.finished.max(Some(at));
-        let was_refused = case.cause_since.take_if(|since| *since <= at).is_some();
-        if case.ends.len() == before && !was_refused {
+        let before = history.ends.len();
+        history.ends.retain(|end| end.ended > at);
+        history.finished = history.finished.max(Some(at));
+        let was_refused = history.cause_since.take_if(|since| *since <= at).is_some();
+        if history.ends.len() == before && !was_refused {
             return Change::None;
         }
         let notice = Notice::Finished {
             request,
             finished: (now - at).as_u32(),
         };
-        self.unjudged.remove(&request);
+        self.unevaluated.remove(&request);
         self.recent.clear(request);
         self.recent.add(notice, 0, now);
         Change::Cleared
@@ -369,11 +387,11 @@
         self.apply_notice_in_pool(notice, None, now)
     }
 
-    /// Takes what a peer tells; `among` is of the endpoint that ended.
+    /// Takes what a peer tells; `pool_snapshot` is of the endpoint that ended.
     pub fn apply_notice_in_pool(
         &mut self,
         notice: &Notice,
-        among: Option<PoolSnapshot>,
+        pool_snapshot: Option<PoolSnapshot>,
         now: Millis,
     ) -> Change {
         let at = |age: u32| now - Millis(u64::from(age));
@@ -389,10 +407,10 @@
                     began: at(began),
                     ended: at(ended),
                 };
-                self.record_end_in_pool(request, end, among, now)
+                self.record_end_in_pool(request, end, pool_snapshot, now)
             }
             Notice::Began { request, began } => self.record_start(request, at(began), now),
-            Notice::Refused { request, since } => self.told_refused(request, at(since), now),
+            Notice::Refused { request, since } => self.apply_refusal(request, at(since), now),
             Notice::Finished { request, finished } => {
                 self.record_completion(request, at(finished), now)
             }
@@ -405,67 +423,73 @@
     }
 
     /// What a peer must know that was not heard for a while: the newest of what is refused.
-    pub fn refused_notices(&self, most: usize, now: Millis) -> Vec<Notice> {
+    pub fn refused_notices(&self, max: usize, now: Millis) -> Vec<Notice> {
         let requests = self.refused_requests(now).into_iter();
         let all = requests.flat_map(|request| {
-            let case = self.cases.get(&request);
-            let ends = case.map_or(&[][..], |case| &case.ends);
-            let since = case.and_then(|case| case.cause_since.or(case.last_end()));
-            let verdict = since.map(|since| Notice::of_cause(request, since, now));
+            let history = self.histories.get(&request);
+            let ends = history.map_or(&[][..], |history| &history.ends);
+            let since = history.and_then(|history| history.cause_since.or(history.last_end()));
+            let cause = since.map(|since| Notice::for_cause(request, since, now));
             let ends = ends
                 .iter()
-                .map(move |end| Notice::of_end(request, end, now));
-            verdict.into_iter().chain(ends)
+                .map(move |end| Notice::for_end(request, end, now));
+            cause.into_iter().chain(ends)
         });
-        all.take(most).collect()
+        all.take(max).collect()
     }
 
     /// Ends in a row under a request.
     pub fn consecutive_ends(&self, request: Fingerprint) -> usize {
-        self.cases.get(&request).map_or(0, Case::in_a_row)
+        self.histories
+            .get(&request)
+            .map_or(0, RequestHistory::consecutive_count)
     }
 
     /// The requests that are refused now, the newest first.
     pub fn refused_requests(&self, now: Millis) -> Vec<Fingerprint> {
-        let refused = self.cases.iter().filter(|(_, case)| {
-            let until = Self::refused_until(case);
+        let refused = self.histories.iter().filter(|(_, history)| {
+            let until = Self::refused_until(history);
             until.is_some_and(|until| now < until)
         });
-        let mut refused: Vec<_> = refused.map(|(key, case)| (case.touched(), *key)).collect();
+        let mut refused: Vec<_> = refused
+            .map(|(key, history)| (history.last_event_at(), *key))
+            .collect();
         refused.sort_unstable_by(|a, b| b.cmp(a));
         refused.into_iter().map(|(_, key)| key).collect()
     }
 
     /// Requests that are remembered.
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.histories.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.histories.is_empty()
     }
 
     /// Forgets what is too old to matter.
     pub fn expire(&mut self, now: Millis) {
-        self.cases.retain(|_, case| !case.is_over(now));
+        self.histories.retain(|_, history| !history.is_expired(now));
     }
 
     /// Makes room for one more. What has the fewest ends goes first, so that no caller can make others
     /// forget a request that does end endpoints.
-    fn make_room(&mut self, request: Fingerprint, now: Millis) {
-        if self.cases.len() < MOST_CASES || self.cases.contains_key(&request) {
+    fn make_room_for(&mut self, request: Fingerprint, now: Millis) {
+        if self.histories.len() < MAX_HISTORIES || self.histories.contains_key(&request) {
             return;
         }
         self.expire(now);
-        let mut all: Vec<_> = self.cases.iter().collect();
-        all.sort_unstable_by_key(|(key, case)| (case.in_a_row(), case.touched(), **key));
+        let mut all: Vec<_> = self.histories.iter().collect();
+        all.sort_unstable_by_key(|(key, history)| {
+            (history.consecutive_count(), history.last_event_at(), **key)
+        });
         // An eighth at a time, so that a flood does not sort the table for each of its requests.
-        let excess = (all.len() + MOST_CASES / 8).saturating_sub(MOST_CASES);
-        let gone: Vec<Fingerprint> = all.iter().take(excess).map(|(key, _)| **key).collect();
-        for key in gone {
-            self.cases.remove(&key);
-            self.unjudged.remove(&key);
+        let excess = (all.len() + MAX_HISTORIES / 8).saturating_sub(MAX_HISTORIES);
+        let evicted: Vec<Fingerprint> = all.iter().take(excess).map(|(key, _)| **key).collect();
+        for key in evicted {
+            self.histories.remove(&key);
+            self.unevaluated.remove(&key);
         }
     }
 }
--- a/src/quarantine/notice.rs
+++ b/src/quarantine/notice.rs
@@ -45,7 +45,7 @@
 
 impl Notice {
     /// An end under a request, told at `now`.
-    pub(super) fn of_end(request: Fingerprint, end: &EndpointEnd, now: Millis) -> Self {
+    pub(super) fn for_end(request: Fingerprint, end: &EndpointEnd, now: Millis) -> Self {
         Self::Ended {
             request,
             endpoint: end.endpoint,
@@ -55,7 +55,7 @@
     }
 
     /// That a request is taken for the cause since an end, told at `now`.
-    pub(super) fn of_cause(request: Fingerprint, since: Millis, now: Millis) -> Self {
+    pub(super) fn for_cause(request: Fingerprint, since: Millis, now: Millis) -> Self {
         let since = (now - since).as_u32();
         Self::Refused { request, since }
     }
@@ -71,16 +71,16 @@
     }
 
     /// The same some time later.
-    pub fn older_by(mut self, time: Millis) -> Self {
-        let grow = |age: &mut u32| *age = age.saturating_add(time.as_u32());
+    pub fn aged_by(mut self, time: Millis) -> Self {
+        let add_time = |age: &mut u32| *age = age.saturating_add(time.as_u32());
         match &mut self {
             Self::Ended { began, ended, .. } => {
-                grow(began);
-                grow(ended);
+                add_time(began);
+                add_time(ended);
             }
-            Self::Began { began, .. } => grow(began),
-            Self::Refused { since, .. } => grow(since),
-            Self::Finished { finished, .. } => grow(finished),
+            Self::Began { began, .. } => add_time(began),
+            Self::Refused { since, .. } => add_time(since),
+            Self::Finished { finished, .. } => add_time(finished),
         }
         self
     }
--- a/src/quarantine/notices.rs
+++ b/src/quarantine/notices.rs
@@ -7,37 +7,38 @@
 use crate::fingerprint::Fingerprint;
 
 /// Notices that are remembered, the newest ones.
-const MOST_RECENT: usize = 256;
+const MAX_RECENT: usize = 256;
 /// Ends in a row from which on the notices of a request are told first, and again for longer: few innocent requests get
 /// there.
-const ALARMING: usize = 2;
+const PRIORITY_ENDS: usize = 2;
 /// Time for which those are told: longer than most cuts between entries, after which a peer that was lost for
 /// longer is told all that is refused.
-const ALARMING_TIME: Millis = Millis(6_000);
+const PRIORITY_REPEAT_TIME: Millis = Millis(6_000);
 
 /// One notice and when it was learned.
 #[derive(Debug, Clone, Copy)]
-struct Recent {
+struct RecentNotice {
     learned: Millis,
     notice: Notice,
-    is_alarming: bool,
+    is_priority: bool,
 }
 
 /// The newest notices, one of a kind and request.
 #[derive(Debug, Default)]
-pub struct RecentNotices(VecDeque<Recent>);
+pub struct RecentNotices(VecDeque<RecentNotice>);
 
 impl RecentNotices {
     /// Something was learned of a request with so many ends in a row.
     pub(super) fn add(&mut self, notice: Notice, ends: usize, now: Millis) {
-        self.0.retain(|recent| !is_same(&recent.notice, &notice));
-        if self.0.len() == MOST_RECENT {
+        self.0
+            .retain(|recent| !is_same_event(&recent.notice, &notice));
+        if self.0.len() == MAX_RECENT {
             self.0.pop_front();
         }
-        self.0.push_back(Recent {
+        self.0.push_back(RecentNotice {
             learned: now,
             notice,
-            is_alarming: ends >= ALARMING,
+            is_priority: ends >= PRIORITY_ENDS,
         });
     }
 
@@ -46,24 +47,24 @@
         self.0.retain(|recent| recent.notice.request() != request);
     }
 
-    /// At most `most` of those to be told now: learned since `from`, and with `repeats` the alarming ones of longer ago;
+    /// At most `max` of those to be told now: learned since `from`, and with `repeats` the alarming ones of longer ago;
     /// ages as of `now`.
-    pub fn since(&self, from: Millis, repeats: bool, most: usize, now: Millis) -> Vec<Notice> {
-        let is_repeated = |recent: &Recent| {
-            repeats && recent.is_alarming && recent.learned + ALARMING_TIME >= now
+    pub fn since(&self, from: Millis, repeats: bool, max: usize, now: Millis) -> Vec<Notice> {
+        let is_repeated = |recent: &RecentNotice| {
+            repeats && recent.is_priority && recent.learned + PRIORITY_REPEAT_TIME >= now
         };
-        let is_due = |recent: &&Recent| recent.learned >= from || is_repeated(recent);
+        let is_due = |recent: &&RecentNotice| recent.learned >= from || is_repeated(recent);
         let newest = || self.0.iter().rev().filter(is_due);
-        let alarming = newest().filter(|recent| recent.is_alarming);
-        let others = newest().filter(|recent| !recent.is_alarming);
-        let due = alarming.chain(others).take(most);
-        due.map(|recent| recent.notice.older_by(now - recent.learned))
+        let priority = newest().filter(|recent| recent.is_priority);
+        let others = newest().filter(|recent| !recent.is_priority);
+        let due = priority.chain(others).take(max);
+        due.map(|recent| recent.notice.aged_by(now - recent.learned))
             .collect()
     }
 }
 
 /// Whether two notices tell the same of one request, whatever their ages.
-fn is_same(one: &Notice, other: &Notice) -> bool {
+fn is_same_event(one: &Notice, other: &Notice) -> bool {
     if one.request() != other.request() {
         return false;
     }
