--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,15 +1,18 @@
-//! Requests under which endpoints ended, and which of them are not sent any more.
+//! Detects requests that make endpoints crash, and refuses them.
 //!
-//! A request that ends every endpoint that begins to run it comes again under another id, at any entry. One end
-//! proves nothing, since dozens of requests are lost with an endpoint, and endpoints end for reasons of their own. So an end
-//! counts against a request only if that run had begun after the last counted end: several copies that are lost at once, or
-//! a rack that goes, count as one. A run that an endpoint finishes clears the request. From the third end in a
-//! row on it is refused, or from the fourth or fifth where so many endpoints end under others that chance would do.
+//! A request that crashes every endpoint that starts to run it comes again under another id, at any
+//! entry. One end of an endpoint proves nothing: dozens of requests are lost with an endpoint, and
+//! endpoints also end for reasons of their own. So an end counts against a request only if that run
+//! had started after the last counted end. Several copies that are lost at once, or a rack that
+//! fails, count as one end. A run that an endpoint completes clears the request. From the third
+//! consecutive end on the request is refused, or from the fourth or fifth where so many endpoints
+//! end under other requests that it could be chance.
 //!
-//! Whether a request is under suspicion also decides how many of its copies run: one at a time, over all entries as far
-//! as they hear each other.
+//! A suspected request also runs only one copy at a time, over all entries as far as they hear each
+//! other.
 //!
-//! What entries tell each other ([`Notice`]) is a set: the same notice twice, or in another order, changes nothing.
+//! What entries tell each other ([`Notice`]) is a set: receiving the same notice twice, or in
+//! another order, changes nothing.
 
 mod ended;
 mod history;
@@ -25,120 +28,124 @@
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
-/// Ends in a row from which on a request may be refused. With two, innocent requests would be where engines end one after
-/// the other.
+/// Consecutive ends from which on a request may be refused. With two, innocent requests would be
+/// refused where engines end one after the other.
 pub const ENDS_TO_REFUSE: usize = 3;
-/// Ends in a row from which on it is refused however many other endpoints end meanwhile.
+/// Consecutive ends from which on a request is refused however many other endpoints end meanwhile.
 const ENDS_TO_REFUSE_ALWAYS: usize = 5;
-/// Ends in a row that two requests share from which on they do not run at the same time, since only ends under one alone
-/// tell which of them is the cause. Dozens share one end.
+/// Consecutive ends that two requests share from which on the two don't run at the same time, since
+/// only ends under one of them alone tell which is the cause. Dozens of requests share a single
+/// end.
 pub const ENDS_TO_SEPARATE: usize = 2;
-/// Chance that an innocent request would have been at as many ends, up to which it is refused: three of three that
-/// end are enough among nine endpoints.
+/// Probability of an innocent request having been at all its ends, up to which it is still refused:
+/// three of three endpoints that end are enough in a pool of nine.
 const MAX_INNOCENT_CHANCE: f64 = 0.002;
-/// Time within which the same end is seen under several requests, by several entries.
+/// Time within which several entries see the same end under several requests.
 const SAME_END_TOLERANCE: Millis = Millis(200);
-/// Time after its newest end in which what else ended is heard, before a request is judged: some rounds of a fleet of
-/// thirty.
+/// Time between the newest end of a request and its evaluation, in which other ends are reported:
+/// some gossip rounds of a fleet of thirty entries.
 const EVALUATION_DELAY: Millis = Millis(500);
-/// Time after which one more copy may run although the last one has not ended: it is no longer taken for the
-/// cause of an end that comes.
+/// Time after which another copy may run although the last one has not ended: an end that comes
+/// later is no longer put down to that copy.
 const TRIAL_TIME: Millis = Millis(1_500);
-/// Requests that are remembered; a full table takes 1.1 MB.
+/// Maximum number of requests in the table; a full table takes 1.1 MB.
 const MAX_HISTORIES: usize = 4_096;
-/// Notices in one message at most: with 17 bytes each they fit one packet on any path.
+/// Maximum number of notices in one message: with 17 bytes each they fit one packet on any path.
 pub const MAX_NOTICES_PER_MESSAGE: usize = 72;
 
-/// One life of an endpoint, as a digest that all entries compute alike.
+/// Digest of one incarnation of an endpoint; all entries compute the same one.
 pub type IncarnationDigest = u32;
 
-/// An endpoint's life that ended under a request.
+/// The end of an endpoint's incarnation while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointEnd {
-    /// The endpoint's life.
+    /// The endpoint's incarnation.
     pub endpoint: IncarnationDigest,
-    /// When the run was sent there.
+    /// When the run was sent to the endpoint.
     pub began: Millis,
-    /// When it was lost.
+    /// When the run was lost.
     pub ended: Millis,
 }
 
-/// The endpoints of a pool that took work when one of them ended: a request that is sent to that pool was at one of these.
+/// The size of a pool when one of its endpoints ended. A request that is sent to the pool was at
+/// one of its endpoints that accepted work then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolSnapshot {
     /// Digest of the pool's name.
     pub pool: u32,
-    /// How many they were.
+    /// Number of its endpoints that accepted work, including the one that ended.
     pub endpoints: usize,
 }
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing speaks against it.
+    /// It may: it is not suspected.
     Clear,
-    /// Endpoints ended under it; it may run once at a time, and that is told to others.
+    /// Endpoints ended while they ran it. It may run, one copy at a time, and its start is reported
+    /// to peers.
     Suspect {
-        /// Ends in a row.
+        /// Number of consecutive ends.
         ends: usize,
     },
-    /// The same, and a copy runs somewhere, or another request does that shares its ends, or it is not judged yet.
+    /// It is suspected and has to wait: a copy of it runs somewhere, or another request that shares
+    /// its ends does, or it is not evaluated yet.
     MustWait {
-        /// Ends in a row.
+        /// Number of consecutive ends.
         ends: usize,
-        /// When that copy was sent; `None` where there is none.
+        /// When the running copy was sent; `None` where none runs.
         began: Option<Millis>,
-        /// When another copy may run in any case.
+        /// When another copy may run at the latest.
         until: Millis,
     },
-    /// It is not sent.
+    /// It is not sent, since it is taken for the cause of ends.
     Refused {
-        /// Ends in a row.
+        /// Number of consecutive ends.
         ends: usize,
-        /// Until when.
+        /// When the refusal expires.
         until: Millis,
     },
 }
 
-/// What changed with something that was seen or told.
+/// What an observation or a notice changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing; it was known, or concerns no request under suspicion.
+    /// Nothing: it was known, or the request is not suspected.
     None,
-    /// An endpoint ended under a request.
+    /// A further end under a request was recorded.
     Suspected {
-        /// Ends in a row.
+        /// Number of consecutive ends.
         ends: usize,
     },
-    /// The same, and the request is refused from now on.
+    /// The request is taken for the cause of ends and refused from now on.
     Refused {
-        /// Ends in a row.
+        /// Number of consecutive ends.
         ends: usize,
-        /// Until when.
+        /// When the refusal expires.
         until: Millis,
     },
-    /// A request under suspicion runs.
+    /// A suspected request started to run.
     Began,
-    /// A request is no longer under suspicion.
+    /// A request is no longer suspected.
     Cleared,
 }
 
-/// All requests under which endpoints ended, as one entry knows them.
+/// All requests under which endpoints ended, as far as this process knows.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     histories: HashMap<Fingerprint, RequestHistory>,
-    /// What peers are told.
+    /// Notices to be sent to peers.
     recent: RecentNotices,
-    /// Endpoints that ended under any request.
+    /// Endpoints that ended lately, under any request.
     ended: EndedIncarnations,
-    /// When this process started, where ends from before may be told to it.
+    /// When this process started; `None` where it knows all ends from before.
     process_started: Option<Millis>,
-    /// Requests that may be the cause of ends, and when that is judged.
+    /// Requests with enough ends to be refused that are not evaluated yet, and when each is due.
     unevaluated: HashMap<Fingerprint, Millis>,
 }
 
 impl Quarantine {
-    /// That of a process that starts now: of ends from before it knows only what peers tell.
+    /// A quarantine for a process that starts now: of earlier ends it knows only what peers report.
     pub fn started_at(now: Millis) -> Self {
         Self {
             process_started: Some(now),
@@ -165,7 +172,7 @@
                 until,
             };
         }
-        // A run that began before the last end is that one, or was lost with it.
+        // A run that started before the last end is the one that ended, or was lost with it.
         let begun = history.began.filter(|at| Some(*at) > history.last_end());
         match begun {
             Some(began) if now < began + TRIAL_TIME => QuarantineStatus::MustWait {
@@ -184,7 +191,8 @@
         }
     }
 
-    /// Until when a request that was at the same ends is taken to run; `None` where none runs.
+    /// Until when another request that shares the newest ends is taken to run; `None` where none
+    /// runs.
     fn rival_runs_until(
         &self,
         request: Fingerprint,
@@ -208,12 +216,13 @@
         until.filter(|until| now < *until)
     }
 
-    /// An endpoint of an unknown pool ended under a request.
+    /// Records an end under a request, of an endpoint whose pool is unknown.
     pub fn record_end(&mut self, request: Fingerprint, end: EndpointEnd, now: Millis) -> Change {
         self.record_end_in_pool(request, end, None, now)
     }
 
-    /// An endpoint ended under a request.
+    /// Records an end under a request; `pool_snapshot` is the size of the endpoint's pool then, if
+    /// known.
     pub fn record_end_in_pool(
         &mut self,
         request: Fingerprint,
@@ -228,7 +237,7 @@
             return Change::None;
         }
         let ends = history.consecutive_count();
-        // A peer that missed an earlier end can't count them.
+        // All ends are reported again, since a peer that missed an earlier one would count too few.
         for end in &history.ends {
             self.recent
                 .add(Notice::for_end(request, end, now), ends, now);
@@ -243,10 +252,11 @@
         Change::Suspected { ends }
     }
 
-    /// Judges the requests whose time has come; those that are refused from now on.
+    /// Evaluates the requests that are due, and returns those that are refused from now on.
     ///
-    /// What ended at the same moment is heard some rounds later. Judged at once, one of 1,274 innocent requests was taken
-    /// for the cause when a third of 56 endpoints ended together.
+    /// The delay lets reports of simultaneous ends arrive, which take some gossip rounds. Without
+    /// it, one of 1,274 innocent requests was taken for the cause when a third of 56 endpoints
+    /// ended together.
     pub fn evaluate_suspects(&mut self, now: Millis) -> Vec<Fingerprint> {
         let due = self.unevaluated.iter().filter(|(_, at)| now >= **at);
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
@@ -262,7 +272,7 @@
         refused
     }
 
-    /// A request is taken for the cause: its ends speak against no other one from now on.
+    /// Takes a request for the cause of its ends: these no longer count against other requests.
     fn mark_as_cause(&mut self, request: Fingerprint, now: Millis) {
         let Some(history) = self.histories.get_mut(&request) else {
             return;
@@ -273,7 +283,7 @@
         self.recent.add(notice, history.consecutive_count(), now);
     }
 
-    /// A peer takes a request for the cause.
+    /// Applies a peer's report that it takes a request for the cause of ends since `since`.
     fn apply_refusal(&mut self, request: Fingerprint, since: Millis, now: Millis) -> Change {
         self.make_room_for(request, now);
         let history = self.histories.entry(request).or_default();
@@ -290,8 +300,8 @@
         Change::Refused { ends, until }
     }
 
-    /// Whether an end under a request is explained by another one that was there: by one that had been taken for the
-    /// cause before, or that has gone on to end endpoints without this one.
+    /// Whether another request that was lost in the same end explains it: one that had been taken
+    /// for the cause before, or that went on to end endpoints without this request.
     fn is_explained(
         &self,
         request: Fingerprint,
@@ -315,7 +325,7 @@
         })
     }
 
-    /// Tells how many endpoints there are, for ends of endpoints whose pool is not known.
+    /// Sets the number of endpoints that is used for ends of endpoints whose pool is unknown.
     pub fn set_endpoint_count(&mut self, count: usize) {
         self.ended.endpoint_count = count;
     }
@@ -326,8 +336,8 @@
         history.cause_since.map(|_| until)
     }
 
-    /// Whether ends in a row are taken for the work of the request: an innocent one would hardly have been at each of
-    /// them.
+    /// Whether a request is taken for the cause of its consecutive ends: an innocent one would
+    /// hardly have been at each of them.
     fn is_cause(&self, request: Fingerprint, history: &RequestHistory) -> bool {
         let consecutive =
             history.consecutive_ends_where(|end| !self.is_explained(request, history, end));
@@ -343,7 +353,7 @@
             && self.ended.innocent_chance(&consecutive, &history.ends) <= MAX_INNOCENT_CHANCE
     }
 
-    /// A request under suspicion was sent to an endpoint.
+    /// Records that a suspected request was sent to an endpoint at `at`.
     pub fn record_start(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(history) = self.histories.get_mut(&request) else {
             return Change::None;
@@ -360,7 +370,7 @@
         Change::Began
     }
 
-    /// An endpoint finished a request.
+    /// Records that an endpoint completed a request at `at`, which clears it of earlier ends.
     pub fn record_completion(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(history) = self.histories.get_mut(&request) else {
             return Change::None;
@@ -382,12 +392,13 @@
         Change::Cleared
     }
 
-    /// Takes what a peer tells, of endpoints of unknown pools.
+    /// Applies a peer's notice; the pool of the endpoint that ended, if any, is unknown.
     pub fn apply_notice(&mut self, notice: &Notice, now: Millis) -> Change {
         self.apply_notice_in_pool(notice, None, now)
     }
 
-    /// Takes what a peer tells; `pool_snapshot` is of the endpoint that ended.
+    /// Applies a peer's notice; `pool_snapshot` is the size of the pool of the endpoint that ended,
+    /// if known.
     pub fn apply_notice_in_pool(
         &mut self,
         notice: &Notice,
@@ -417,12 +428,13 @@
         }
     }
 
-    /// What is to be told to peers.
+    /// Notices to be sent to peers.
     pub fn recent(&self) -> &RecentNotices {
         &self.recent
     }
 
-    /// What a peer must know that was not heard for a while: the newest of what is refused.
+    /// Notices for a peer that was not heard for a while, at most `max`: those of the requests
+    /// refused now, the newest requests first.
     pub fn refused_notices(&self, max: usize, now: Millis) -> Vec<Notice> {
         let requests = self.refused_requests(now).into_iter();
         let all = requests.flat_map(|request| {
@@ -438,7 +450,7 @@
         all.take(max).collect()
     }
 
-    /// Ends in a row under a request.
+    /// Number of consecutive ends under a request; 0 for one that is not suspected.
     pub fn consecutive_ends(&self, request: Fingerprint) -> usize {
         self.histories
             .get(&request)
@@ -458,23 +470,23 @@
         refused.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Requests that are remembered.
+    /// Number of requests in the table.
     pub fn len(&self) -> usize {
         self.histories.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.histories.is_empty()
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes the requests whose ends and refusals are too old to matter.
     pub fn expire(&mut self, now: Millis) {
         self.histories.retain(|_, history| !history.is_expired(now));
     }
 
-    /// Makes room for one more. What has the fewest ends goes first, so that no caller can make others
-    /// forget a request that does end endpoints.
+    /// Makes room for `request` in a full table. Requests with the fewest ends are removed first,
+    /// so that no caller can displace a request that does crash endpoints.
     fn make_room_for(&mut self, request: Fingerprint, now: Millis) {
         if self.histories.len() < MAX_HISTORIES || self.histories.contains_key(&request) {
             return;
@@ -484,7 +496,8 @@
         all.sort_unstable_by_key(|(key, history)| {
             (history.consecutive_count(), history.last_event_at(), **key)
         });
-        // An eighth at a time, so that a flood does not sort the table for each of its requests.
+        // Frees an eighth of the table at a time, so that a flood does not sort it for each
+        // request.
         let excess = (all.len() + MAX_HISTORIES / 8).saturating_sub(MAX_HISTORIES);
         let evicted: Vec<Fingerprint> = all.iter().take(excess).map(|(key, _)| **key).collect();
         for key in evicted {
