--- a/src/quarantine/history.rs
+++ b/src/quarantine/history.rs
@@ -1,39 +1,39 @@
-//! What is known of one request under which endpoints ended.
+//! The history of one request under which endpoints ended.
 
 use super::{EndpointEnd, ENDS_TO_REFUSE, ENDS_TO_SEPARATE};
 use crate::clock::Millis;
 
-/// First time for which it is refused; it doubles with each further end.
+/// Time for which a request is refused at first; it doubles with each further end.
 const MIN_REFUSAL_TIME: Millis = Millis::from_secs(600);
-/// Longest time for which it is refused, so that engines of a newer version get it to try.
+/// Longest time for which a request is refused, so that engines of a newer version get to try it.
 const MAX_REFUSAL_TIME: Millis = Millis::from_secs(3_600);
-/// Time for which ends below [`ENDS_TO_REFUSE`] are remembered.
+/// Time for which a history is kept after its newest event, and after its refusal has expired.
 const RETENTION: Millis = Millis::from_secs(600);
-/// Ends that are remembered of one request, the newest ones.
+/// Maximum number of ends kept for one request, the newest ones.
 const MAX_ENDS: usize = 8;
-/// How much the times that two processes tell of one moment may differ: the way of a datagram.
+/// How far the times that two processes report for one event may differ: the delay of a datagram.
 pub(super) const TIMESTAMP_TOLERANCE: Millis = Millis(20);
 
-/// What is known of one request.
+/// The ends, runs and refusal of one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RequestHistory {
-    /// Ends under it since it was finished last, the oldest first.
+    /// Ends under the request since its last completion, the oldest first.
     pub(super) ends: Vec<EndpointEnd>,
-    /// When an endpoint finished it last.
+    /// When an endpoint completed it last.
     pub(super) finished: Option<Millis>,
-    /// When the newest run of it under suspicion began.
+    /// When its newest run under suspicion started.
     pub(super) began: Option<Millis>,
-    /// The end at which it was taken for the cause.
+    /// The time of the end since which it is taken for the cause; `None` where it is not.
     pub(super) cause_since: Option<Millis>,
 }
 
 impl RequestHistory {
-    /// Ends in a row: runs that began after the end of the one before.
+    /// The consecutive ends: those whose run started after the previous counted end.
     pub(super) fn consecutive_ends(&self) -> Vec<EndpointEnd> {
         self.consecutive_ends_where(|_| true)
     }
 
-    /// The same of those that count.
+    /// The consecutive ends among those for which `counts` is true.
     pub(super) fn consecutive_ends_where(
         &self,
         counts: impl Fn(&EndpointEnd) -> bool,
@@ -50,12 +50,12 @@
         consecutive
     }
 
-    /// Their number.
+    /// Number of consecutive ends.
     pub(super) fn consecutive_count(&self) -> usize {
         self.consecutive_ends().len()
     }
 
-    /// Whether another request was at its newest ends as well.
+    /// Whether the newest [`ENDS_TO_SEPARATE`] ends were also ends under the other request.
     pub(super) fn shares_ends(&self, other: &Self) -> bool {
         let newest = self.ends.iter().rev().take(ENDS_TO_SEPARATE);
         let is_shared = |end: &EndpointEnd| other.ends.iter().any(|e| e.endpoint == end.endpoint);
@@ -66,7 +66,7 @@
         self.ends.last().map(|end| end.ended)
     }
 
-    /// Adds an end; false where it changes nothing.
+    /// Adds an end; false if it is known, or was cleared by a later completion.
     pub(super) fn add(&mut self, end: EndpointEnd) -> bool {
         let is_known = self.ends.iter().any(|e| e.endpoint == end.endpoint);
         let is_cleared = self.finished.is_some_and(|at| end.ended <= at);
@@ -81,7 +81,8 @@
         true
     }
 
-    /// Until when it is refused where it is the cause; `None` below [`ENDS_TO_REFUSE`].
+    /// When the refusal would expire if the request is the cause; `None` below [`ENDS_TO_REFUSE`],
+    /// unless it is already taken for the cause.
     pub(super) fn refused_until(&self) -> Option<Millis> {
         let extra_ends = match self.cause_since {
             Some(_) => self.consecutive_count().saturating_sub(ENDS_TO_REFUSE),
@@ -92,7 +93,7 @@
         from.map(|at| at + time)
     }
 
-    /// When the newest thing known of it happened.
+    /// Time of the newest event.
     pub(super) fn last_event_at(&self) -> Millis {
         let newest = self.last_end().max(self.finished).max(self.began);
         let newest = newest.max(self.cause_since);
