--- a/src/quarantine/ended.rs
+++ b/src/quarantine/ended.rs
@@ -1,5 +1,5 @@
-//! Which endpoints ended lately, under whatever request: what tells a request that ends them from one that was there by
-//! chance.
+//! The endpoints that ended lately, under any request. From these follows how likely an innocent
+//! request was at the same ends by chance.
 
 use std::collections::VecDeque;
 
@@ -9,10 +9,10 @@
 
 /// Time for which an endpoint that ended is taken to be down.
 const DOWN_TIME: Millis = Millis(3_000);
-/// Ends of endpoints that are remembered, the newest ones.
+/// Maximum number of ends that are kept, the newest ones.
 const MAX_ENDED: usize = 512;
 
-/// A life that ended.
+/// An incarnation of an endpoint that ended.
 #[derive(Debug, Clone, Copy)]
 struct EndedIncarnation {
     at: Millis,
@@ -21,7 +21,8 @@
 }
 
 impl EndedIncarnation {
-    /// Whether a request that is sent to a pool could have been at its end, as far as is known.
+    /// Whether requests of `pool` may have been at this endpoint; true where either pool is
+    /// unknown.
     fn may_serve(&self, pool: Option<u32>) -> bool {
         match (self.pool_snapshot, pool) {
             (Some(pool_snapshot), Some(pool)) => pool_snapshot.pool == pool,
@@ -30,17 +31,17 @@
     }
 }
 
-/// Endpoints' lives that ended, and how many endpoints there are.
+/// The incarnations that ended lately, and the number of endpoints.
 #[derive(Debug, Default)]
 pub(super) struct EndedIncarnations {
     /// The newest last.
     ended: VecDeque<EndedIncarnation>,
-    /// Endpoints that there are, where those of the pool are not known; 0 while none is known.
+    /// Number of endpoints, used where the size of the pool is unknown; 0 before any is known.
     pub(super) endpoint_count: usize,
 }
 
 impl EndedIncarnations {
-    /// Remembers that an endpoint ended.
+    /// Records that an endpoint ended; `pool_snapshot` is the size of its pool then, if known.
     pub(super) fn record(&mut self, end: &EndpointEnd, pool_snapshot: Option<PoolSnapshot>) {
         if let Some(known) = self
             .ended
@@ -60,8 +61,9 @@
         });
     }
 
-    /// Chance that an innocent request would have been at each end of `consecutive`, of all endpoints that ended from its first
-    /// run to its last one, an upper bound; `all` are the request's ends, those included that are not in the row.
+    /// Upper bound of the probability that an innocent request was at each end of `consecutive`,
+    /// given all endpoints that ended between its first run and its last end. `all` holds all ends
+    /// of the request, including those that are not consecutive.
     ///
     /// Only endpoints of the request's own pool count: it could not have been at any other.
     pub(super) fn innocent_chance(&self, consecutive: &[EndpointEnd], all: &[EndpointEnd]) -> f64 {
@@ -91,13 +93,14 @@
         combinations.product::<f64>() * chance_at_each.product::<f64>()
     }
 
-    /// The endpoints among which one was that ended.
+    /// Size of the pool of the endpoint that ended, if known.
     fn pool_snapshot(&self, end: &EndpointEnd) -> Option<PoolSnapshot> {
         let mut ended = self.ended.iter();
         ended.find(|e| e.incarnation == end.endpoint)?.pool_snapshot
     }
 
-    /// Of so many endpoints, those that were up before an end, as far as is known: one of them has ended.
+    /// Of `endpoints` endpoints, the number that was up just before an end, as far as is known; at
+    /// least 1, the one that ended.
     fn up_before(&self, end: &EndpointEnd, endpoints: usize, pool: Option<u32>) -> usize {
         let from = end.ended - DOWN_TIME;
         let down = self.ended.iter().filter(|e| {
