--- a/src/quarantine/notice.rs
+++ b/src/quarantine/notice.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of requests under suspicion.
+//! The messages that processes send each other about suspected requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,45 +6,47 @@
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
-/// What entries tell each other of one request; times are ages in ms, so that no two clocks are compared.
+/// One report about one request. Times are ages in ms at sending, so that no two clocks are
+/// compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-    /// An endpoint ended under it.
+    /// An endpoint ended while it ran the request.
     Ended {
         /// The request.
         request: Fingerprint,
-        /// The endpoint's life.
+        /// The endpoint's incarnation.
         endpoint: IncarnationDigest,
-        /// Age of the run's beginning.
+        /// Time since the run started, in ms.
         began: u32,
-        /// Age of its end.
+        /// Time since the run was lost, in ms.
         ended: u32,
     },
-    /// It is under suspicion and was sent to an endpoint.
+    /// The request is suspected and was sent to an endpoint.
     Began {
         /// The request.
         request: Fingerprint,
-        /// Age of the run's beginning.
+        /// Time since the run started, in ms.
         began: u32,
     },
-    /// It is taken for the cause of ends: who has just started can't judge that, not knowing what else ended.
+    /// The request is taken for the cause of ends. A process that has just started relies on this:
+    /// it does not know what else ended, so it can't evaluate the request.
     Refused {
         /// The request.
         request: Fingerprint,
-        /// Age of the end that told.
+        /// Time since the end that decided it, in ms.
         since: u32,
     },
-    /// It was under suspicion, and an endpoint has finished it.
+    /// The request was suspected, and an endpoint has completed it.
     Finished {
         /// The request.
         request: Fingerprint,
-        /// Age of that.
+        /// Time since its completion, in ms.
         finished: u32,
     },
 }
 
 impl Notice {
-    /// An end under a request, told at `now`.
+    /// The notice of an end under a request, with ages as of `now`.
     pub(super) fn for_end(request: Fingerprint, end: &EndpointEnd, now: Millis) -> Self {
         Self::Ended {
             request,
@@ -54,13 +56,13 @@
         }
     }
 
-    /// That a request is taken for the cause since an end, told at `now`.
+    /// The notice that a request is taken for the cause since `since`, with its age as of `now`.
     pub(super) fn for_cause(request: Fingerprint, since: Millis, now: Millis) -> Self {
         let since = (now - since).as_u32();
         Self::Refused { request, since }
     }
 
-    /// The request that it is about.
+    /// The request that the notice is about.
     pub const fn request(&self) -> Fingerprint {
         match self {
             Self::Ended { request, .. }
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The same some time later.
+    /// The notice with its ages increased by `time`.
     pub fn aged_by(mut self, time: Millis) -> Self {
         let add_time = |age: &mut u32| *age = age.saturating_add(time.as_u32());
         match &mut self {
