--- a/src/quarantine/notices.rs
+++ b/src/quarantine/notices.rs
@@ -1,4 +1,4 @@
-//! What is told to other entries of requests under suspicion, and for how long.
+//! The notices that a process sends to its peers, and for how long.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,16 @@
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
-/// Notices that are remembered, the newest ones.
+/// Maximum number of notices that are kept, the newest ones.
 const MAX_RECENT: usize = 256;
-/// Ends in a row from which on the notices of a request are told first, and again for longer: few innocent requests get
-/// there.
+/// Consecutive ends from which on the notices of a request are sent first, and repeated for longer:
+/// few innocent requests have that many.
 const PRIORITY_ENDS: usize = 2;
-/// Time for which those are told: longer than most cuts between entries, after which a peer that was lost for
-/// longer is told all that is refused.
+/// Time for which priority notices are repeated: longer than most partitions between entries. A
+/// peer that was away for longer is sent all refused requests.
 const PRIORITY_REPEAT_TIME: Millis = Millis(6_000);
 
-/// One notice and when it was learned.
+/// A notice and when it was learned.
 #[derive(Debug, Clone, Copy)]
 struct RecentNotice {
     learned: Millis,
@@ -23,12 +23,12 @@
     is_priority: bool,
 }
 
-/// The newest notices, one of a kind and request.
+/// The newest notices; for one request, a newer notice of the same kind replaces the older one.
 #[derive(Debug, Default)]
 pub struct RecentNotices(VecDeque<RecentNotice>);
 
 impl RecentNotices {
-    /// Something was learned of a request with so many ends in a row.
+    /// Adds a notice about a request with `ends` consecutive ends.
     pub(super) fn add(&mut self, notice: Notice, ends: usize, now: Millis) {
         self.0
             .retain(|recent| !is_same_event(&recent.notice, &notice));
@@ -42,13 +42,13 @@
         });
     }
 
-    /// A request was cleared: what spoke against it is told no more.
+    /// Removes all notices about a request that was cleared.
     pub(super) fn clear(&mut self, request: Fingerprint) {
         self.0.retain(|recent| recent.notice.request() != request);
     }
 
-    /// At most `max` of those to be told now: learned since `from`, and with `repeats` the alarming ones of longer ago;
-    /// ages as of `now`.
+    /// At most `max` notices to be sent now, with ages as of `now`: those learned since `from`, and
+    /// with `repeats` also older priority notices. Priority notices come first, then the newest.
     pub fn since(&self, from: Millis, repeats: bool, max: usize, now: Millis) -> Vec<Notice> {
         let is_repeated = |recent: &RecentNotice| {
             repeats && recent.is_priority && recent.learned + PRIORITY_REPEAT_TIME >= now
@@ -63,7 +63,8 @@
     }
 }
 
-/// Whether two notices tell the same of one request, whatever their ages.
+/// Whether two notices report the same event, or events of the same kind of one request, whatever
+/// their ages.
 fn is_same_event(one: &Notice, other: &Notice) -> bool {
     if one.request() != other.request() {
         return false;
