--- a/src/quarantine/ended.rs
+++ b/src/quarantine/lives.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use super::history::TIMESTAMP_TOLERANCE;
+use super::case::TIMESTAMP_TOLERANCE;
 use super::{EndpointEnd, IncarnationDigest, PoolSnapshot};
 use crate::clock::Millis;
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -14,15 +14,15 @@
 //! What entries tell each other ([`Notice`]) is a set: receiving the same notice twice, or in
 //! another order, changes nothing.
 
-mod ended;
-mod history;
+mod case;
+mod lives;
 mod notice;
 mod notices;
 
 use std::collections::HashMap;
 
-use self::ended::EndedIncarnations;
-use self::history::RequestHistory;
+use self::case::RequestHistory;
+use self::lives::EndedIncarnations;
 pub use self::notice::Notice;
 pub use self::notices::RecentNotices;
 use crate::clock::Millis;
