--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -1,5 +1,6 @@
-//! Requests under which endpoints ended, where sidecars order the endpoints: a sidecar sees its endpoint end and which
-//! runs were lost with it, and entries refuse what ends endpoints.
+//! Detection of requests that crash endpoints, where sidecars run the requests: a sidecar sees its
+//! endpoint end and which runs were lost with it, and entries refuse the requests that crash
+//! endpoints.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,15 +21,16 @@
 use crate::sidecar::Sidecar;
 use crate::wire::{FromSidecar, Offer, Start};
 
-/// The lives of a sidecar's endpoint, as the sidecar counts them.
+/// Which incarnation of its endpoint a sidecar sees.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EndpointIncarnation {
     number: u32,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl EndpointIncarnation {
-    /// A digest of the life that goes on, or ended last; no other sidecar's or incarnation's is the same.
+    /// Digest of the current incarnation, or of the last one if that has ended. It differs for
+    /// every sidecar, and for every incarnation of a sidecar.
     fn digest(self, instance: &str, incarnation: Incarnation) -> IncarnationDigest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(instance.as_bytes());
@@ -40,35 +42,36 @@
     }
 }
 
-/// What a run is asked for.
-fn of_run(offer: &Offer, start: &Start) -> Fingerprint {
+/// Fingerprint of the request that a run executes.
+fn run_fingerprint(offer: &Offer, start: &Start) -> Fingerprint {
     Fingerprint::of(&offer.team, &[&offer.pool, &start.path], &start.body)
 }
 
-/// What a job asks for; the same as [`of_run`] of its runs.
-fn of_job(job: &Job) -> Fingerprint {
+/// Fingerprint of a job's request; equal to [`run_fingerprint`] of its runs.
+fn job_fingerprint(job: &Job) -> Fingerprint {
     let team = &job.policy.team_at(job.team).name;
     let pool = &job.policy.pool_at(job.pool).name;
     Fingerprint::of(team, &[pool, &job.path], &job.body)
 }
 
-/// A run is about to begin: an endpoint that had ended and listens again has begun another life.
+/// To be called before a run starts: if the endpoint had ended and accepts connections again, it is
+/// a new incarnation.
 pub async fn before_run(sidecar: &Sidecar) {
-    if sidecar.lives.get().is_over && !sidecar.endpoint.is_gone().await {
-        begin_life(&sidecar.lives);
+    if sidecar.lives.get().has_ended && !sidecar.endpoint.is_gone().await {
+        begin_incarnation(&sidecar.lives);
         sidecar.life_begun();
     }
 }
 
-fn begin_life(lives: &Cell<EndpointIncarnation>) {
-    let EndpointIncarnation { number, is_over } = lives.get();
-    lives.set(EndpointIncarnation {
-        number: number + u32::from(is_over),
-        is_over: false,
+fn begin_incarnation(incarnation: &Cell<EndpointIncarnation>) {
+    let EndpointIncarnation { number, has_ended } = incarnation.get();
+    incarnation.set(EndpointIncarnation {
+        number: number + u32::from(has_ended),
+        has_ended: false,
     });
 }
 
-/// A run that began at `began` has ended; what entries are to be told of that.
+/// Records the end of a run that started at `began`; returns the notices to be sent to entries.
 pub async fn after_run(
     sidecar: &Sidecar,
     offer: &Offer,
@@ -85,41 +88,42 @@
         if node.quarantine.borrow().is_empty() {
             return Vec::new();
         }
-        let request = of_run(offer, start);
+        let request = run_fingerprint(offer, start);
         let change = node
             .quarantine
             .borrow_mut()
             .record_completion(request, now, now);
-        return told(node, request, change);
+        return notices_for(node, request, change);
     }
-    if !may_have_ended(outcome) || !sidecar.endpoint.is_gone().await {
+    if !is_endpoint_loss(outcome) || !sidecar.endpoint.is_gone().await {
         return Vec::new();
     }
-    let mut lives = sidecar.lives.get();
-    lives.is_over = true;
-    sidecar.lives.set(lives);
+    let mut current = sidecar.lives.get();
+    current.has_ended = true;
+    sidecar.lives.set(current);
     let end = EndpointEnd {
-        endpoint: lives.digest(&node.settings.id, node.incarnation),
+        endpoint: current.digest(&node.settings.id, node.incarnation),
         began,
         ended: now,
     };
-    let request = of_run(offer, start);
+    let request = run_fingerprint(offer, start);
     node.count_endpoints();
     let change = node.quarantine.borrow_mut().record_end(request, end, now);
-    tracing::warn!(request = %offer.request, fingerprint = %request, "the endpoint ended under a run");
-    told(node, request, change)
+    tracing::warn!(request = %offer.request, fingerprint = %request, "the endpoint ended while it ran a request");
+    notices_for(node, request, change)
 }
 
-/// Whether a run was lost as it is when its endpoint ends.
-const fn may_have_ended(outcome: &Outcome) -> bool {
+/// Whether a run ended the way it does when its endpoint ends: lost, or its stream cut off.
+const fn is_endpoint_loss(outcome: &Outcome) -> bool {
     matches!(
         outcome,
         Outcome::Unknown(UnknownReason::EndpointLost) | Outcome::Failed(FailReason::StreamCut)
     )
 }
 
-/// What is told of a request after a change; peers are woken.
-fn told(node: &Node, request: Fingerprint, change: Change) -> Vec<Notice> {
+/// The recent notices about a request after a change, none if nothing changed; a change also wakes
+/// the gossip with peers.
+fn notices_for(node: &Node, request: Fingerprint, change: Change) -> Vec<Notice> {
     if change == Change::None {
         return Vec::new();
     }
@@ -133,7 +137,7 @@
     of_request.collect()
 }
 
-/// Takes what another process tells.
+/// Applies the notices that another process sent.
 pub fn apply_notices(node: &Node, notices: &[Notice]) {
     let now = node.clock.now();
     node.count_endpoints();
@@ -143,7 +147,7 @@
         is_new |= change != Change::None;
         if let Change::Refused { ends, .. } = change {
             let fingerprint = notice.request();
-            tracing::warn!(%fingerprint, ends, "a request that ends endpoints is refused");
+            tracing::warn!(%fingerprint, ends, "refusing a request that crashes endpoints");
         }
     }
     if is_new {
@@ -151,7 +155,8 @@
     }
 }
 
-/// The next message of a sidecar; what it tells of requests under suspicion is taken on the way.
+/// The next message of a sidecar; notices about suspected requests are applied and skipped. Returns
+/// `None` at the end of the link, and an error when it can't be read.
 pub async fn next_message(
     entry: &Rc<Entry>,
     reader: &mut Reader,
@@ -164,7 +169,8 @@
     }
 }
 
-/// The refusal of a job that ends endpoints; `None` for any other.
+/// The refusal of a job whose request has at least [`ENDS_TO_REFUSE`] consecutive ends and is
+/// refused or must wait; `None` for any other job. Evaluates suspected requests first.
 pub fn refusal(entry: &Entry, job: &Job) -> Option<Outcome> {
     let node = &entry.node;
     if node.quarantine.borrow().is_empty() {
@@ -179,7 +185,11 @@
     {
         node.suspicions.send_modify(|changes| *changes += 1);
     }
-    match node.quarantine.borrow().request_status(of_job(job), now) {
+    match node
+        .quarantine
+        .borrow()
+        .request_status(job_fingerprint(job), now)
+    {
         QuarantineStatus::MustWait { ends, until, .. }
         | QuarantineStatus::Refused { ends, until }
             if ends >= ENDS_TO_REFUSE =>
