--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,5 +1,5 @@
-//! What a request asks for, as a digest: the same for every repeat of it, whatever its id and whichever
-//! entry it comes to.
+//! A digest of what a request asks for: the same for each repetition of the request, whatever its
+//! id and whichever entry receives it.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 
 /// First eight bytes of the BLAKE3 hash of caller, target and body.
 ///
-/// The caller is part of it, so that no team can bring another team's requests under suspicion. Headers are
-/// not: a caller that repeats a request gives it another id and less time.
+/// The caller is included, so that no team can bring another team's requests under suspicion.
+/// Headers are not: a caller that repeats a request sends another id and less remaining time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The digest of a request: its caller's team (empty where no key is needed), what names its target, and its
-    /// body.
+    /// The fingerprint of a request. `team` is the caller's team (empty where no key is needed),
+    /// and `target` the parts that name the request's target.
     pub fn of(team: &str, target: &[&str], body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in std::iter::once(&team).chain(target) {
@@ -35,7 +35,8 @@
 }
 
 impl Serialize for Fingerprint {
-    /// Hex in text, eight bytes otherwise: as a number it would mostly take nine.
+    /// Hex digits in text formats. In binary formats eight bytes: a variable-length integer would
+    /// mostly take nine.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
             return serializer.collect_str(self);
