--- a/src/rate.rs
+++ b/src/rate.rs
@@ -1,8 +1,8 @@
-//! Rates of requests.
+//! Request rates.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second, in thousandths.
+/// A request rate, in thousandths of a request per second.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -10,18 +10,19 @@
 pub struct Rate(pub u32);
 
 impl Rate {
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_s(self) -> f64 {
         f64::from(self.0) / 1_000.0
     }
 
-    /// Requests in a millisecond.
+    /// Requests per millisecond.
     pub fn per_ms(self) -> f64 {
         self.per_s() / 1_000.0
     }
 
-    /// Reads requests a second, as digits with at most one point; `None` for anything else. What is finer than a
-    /// thousandth is left out, and what is larger than can be held is held as the largest.
+    /// Parses requests per second: digits with at most one decimal point, `None` for anything else.
+    /// The rate is rounded down to thousandths, and a rate that is too large becomes the largest
+    /// one.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.trim();
         let is_decimal = |c: char| c.is_ascii_digit() || c == '.';
