--- a/src/mix_bits.rs
+++ b/src/mix_bits.rs
@@ -1,6 +1,7 @@
-//! Numbers spread evenly, the same in every process.
+//! A deterministic hash of integers, the same in every process.
 
-/// Spreads the bits of a number evenly (the finalizer of splitmix64).
+/// Mixes the bits of a number so that the results are evenly distributed (the finalizer of
+/// splitmix64).
 pub const fn mix_bits(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
