--- a/src/direct/decision.rs
+++ b/src/direct/decision.rs
@@ -1,8 +1,9 @@
-//! The decision log: one structured line for each decision that touches a request or changes what
-//! the process believes.
+//! The decision log: one structured line for each decision about a request and for each change of
+//! the process's state or of what it knows about endpoints, peers and the configuration.
 //!
-//! Lines are JSON on standard output. Their number a second is bounded by kind, and a writer that
-//! is held up drops lines instead of holding up a request; what was dropped is counted and told.
+//! Lines are JSON on standard output. The number of lines per second is limited for each kind. A
+//! blocked writer drops lines instead of delaying requests. Dropped lines are counted, and the
+//! counts are logged as [`Decision::Dropped`].
 
 use std::cell::{Cell, RefCell};
 use std::io::Write;
@@ -16,84 +17,88 @@
 use crate::direct::sync::Document;
 use crate::fingerprint::Fingerprint;
 
-/// Lines a second about requests that went well. A full entry serves some hundred requests a
-/// second; a line takes about 10 microseconds.
-const SERVED_LINES: u32 = 300;
-/// Lines a second about requests that failed; kept apart, so that success can't push them out. As many for the most
-/// urgent ones.
-const FAILED_LINES: u32 = 120;
-/// Lines a second about changes of belief.
-const BELIEF_LINES: u32 = 80;
-/// Number of [`Kind`]s.
-const KINDS: usize = 4;
+/// Maximum lines per second about successful requests. A fully loaded entry serves a few hundred
+/// requests per second, and writing a line takes about 10 microseconds.
+const MAX_SERVED_LINES_PER_S: u32 = 300;
+/// Maximum lines per second about failed requests. They have their own limit, so that successful
+/// requests can't crowd them out; failures of the most urgent requests have another one of this
+/// size.
+const MAX_FAILED_LINES_PER_S: u32 = 120;
+/// Maximum lines per second about changes of the process's state.
+const MAX_STATE_LINES_PER_S: u32 = 80;
+/// Number of [`LineKind`]s.
+const KIND_COUNT: usize = 4;
 
-/// Why a request was refused without being sent anywhere.
+/// Why this entry refused a request that no endpoint ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// Not allowed, or not known to be.
+    /// The configuration does not allow it, or is too old to tell.
     Denied(Denied),
-    /// No endpoint of the pool can be reached.
+    /// No endpoint of the pool is reachable.
     NoEndpoint,
-    /// All endpoints of the pool that would take work have asked for rest.
+    /// All endpoints of the pool that would otherwise accept requests have asked this instance to
+    /// back off.
     EndpointsRest {
-        /// Time until the first has rested, in ms.
+        /// Time until the first back-off ends, in ms.
         first_back_ms: u64,
     },
-    /// All endpoints of the pool that would take work have named limits that others use now.
+    /// All endpoints of the pool that would otherwise accept requests have announced a request
+    /// rate limit, and other requests use these limits up.
     EndpointsLimited {
-        /// Time until a permit for one of them may be asked for, in ms.
+        /// Time until a permit for one of them can be requested, in ms.
         first_free_ms: u64,
     },
-    /// It would wait too long in a pool that is overloaded.
+    /// The pool is overloaded, and the request would wait too long.
     Overload {
-        /// Time until its first event at the best endpoint, by estimate, in ms.
+        /// Estimated time until its first event at the best endpoint, in ms.
         expected_ms: u64,
-        /// Mean time that the pool's endpoints need to read the prompts that they have, in ms.
+        /// Mean time that the pool's endpoints need to prefill their pending prompts, in ms.
         backlog_ms: u64,
     },
-    /// The slots that its endpoints have free are left to more urgent requests, or to others of its kind.
+    /// The free slots of the endpoints are reserved for more urgent requests, or only part of the
+    /// requests of this urgency is sent and this one is not among them.
     RoomKept {
-        /// Of a hundred such requests, those that are sent.
+        /// Percentage of such requests that are sent.
         sent_percent: u32,
     },
-    /// Endpoints ended in a row under what it asks for.
+    /// Several endpoints in a row ended while they ran a request with the same fingerprint.
     EndsEndpoints {
-        /// Digest of that.
+        /// Digest of what the request asks for.
         fingerprint: Fingerprint,
-        /// Ends in a row.
+        /// Number of endpoints that ended in a row.
         ends: usize,
-        /// Time after which it may come back, in ms.
+        /// Time after which it may be repeated, in ms.
         come_back_ms: u64,
     },
-    /// The endpoint said that it did not run it, and no other may be asked.
+    /// The endpoint answered that it did not run the request, and no further attempt is allowed.
     EndpointRefused,
-    /// The time was over before it could be sent.
+    /// Its deadline passed before it could be sent.
     TimeOver,
-    /// This process stops.
+    /// This process is stopping.
     Stopping,
 }
 
-/// How a request that was sent ended.
+/// How a request ended after it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Served,
-    /// The endpoint's own error was delivered.
+    /// An error response of the endpoint was delivered.
     EndpointError,
-    /// The outcome is not known.
+    /// The endpoint may have run it, but no valid response came.
     Unknown,
-    /// The time was over.
+    /// Its deadline passed.
     TimeOver,
-    /// The stream broke off and could not be taken up.
+    /// The stream broke off and could not be resumed.
     Broken,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
 }
 
 impl RequestOutcome {
-    /// Short name, as a metric label.
+    /// Value of the metric label.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -106,291 +111,300 @@
     }
 }
 
-/// One decision or change of belief, with the inputs that decided it.
+/// One decision or change of state, with the inputs that led to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Decision {
-    /// A request was given to an endpoint.
+    /// A request is about to be sent to an endpoint.
     Placed {
-        /// Route.
+        /// Name of the route.
         route: String,
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// Which attempt, from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
-        /// Urgency that the endpoint is told, 0 first.
+        /// Urgency that is passed to the endpoint; 0 is the highest.
         #[serde(default)]
         priority: u8,
-        /// Time until the first event, by estimate, in ms.
+        /// Estimated time until the first event, in ms.
         expected_ms: u64,
-        /// Prompt tokens that the endpoint is taken to keep.
+        /// Prompt tokens that the endpoint is assumed to have cached.
         cached: u64,
-        /// Prompt tokens that it takes from another endpoint's memory.
+        /// Prompt tokens that it fetches from another endpoint's memory.
         #[serde(skip_serializing_if = "is_zero", default)]
         moved: u64,
-        /// That endpoint.
+        /// Identity of that other endpoint.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         moved_from: Option<String>,
-        /// Tokens that it must read.
+        /// Prompt tokens that it has to prefill.
         unread: u32,
-        /// Requests there, of all entries as far as known.
+        /// Requests running at the endpoint, of all entries as far as known.
         running: u32,
-        /// Configuration that decided.
+        /// Version of the configuration in force.
         catalog: u64,
-        /// Age of its proof, in ms.
+        /// Time since that configuration was last proven to be the newest, in ms.
         proof_age_ms: Option<u64>,
-        /// Time left, in ms.
+        /// Time left until the request's deadline, in ms.
         left_ms: u64,
-        /// Why the endpoint had announced that it wants no requests.
+        /// Set when the request is sent although the endpoint has announced that it wants no
+        /// requests: the reason that it gave.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         against: Option<Unwilling>,
-        /// The limit that the endpoint had named for all instances together, in requests a second.
+        /// Rate limit that the endpoint announced for all instances together, in requests per
+        /// second.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         limit_per_s: Option<f64>,
-        /// Endpoint that keeps a copy of the run's memory.
+        /// Identity of the endpoint that keeps a copy of the run's memory.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         copy: Option<String>,
-        /// Whether the run goes on from its copy, after the endpoint that made it was lost.
+        /// Whether the run continues from its copy, because the endpoint that ran it was lost.
         #[serde(skip_serializing_if = "std::ops::Not::not", default)]
         takes_over: bool,
     },
-    /// A request was refused without being sent, or not run anywhere.
+    /// A request was refused: it was not sent, or no endpoint ran it.
     Refused {
-        /// Why.
+        /// Reason.
         why: RefusalReason,
-        /// Host and path that it named.
+        /// Host and path of the request.
         target: String,
-        /// Configuration that decided.
+        /// Version of the configuration in force.
         catalog: u64,
-        /// Age of its proof, in ms.
+        /// Time since that configuration was last proven to be the newest, in ms.
         proof_age_ms: Option<u64>,
-        /// Time since it was read, in ms.
+        /// Time since the request arrived, in ms.
         held_ms: u64,
-        /// Urgency of its route, 0 first; `None` where it is not allowed on any.
+        /// Urgency of its route, 0 is the highest; `None` where no route allows it.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         urgency: Option<u8>,
-        /// Endpoints that had a free slot and had announced nothing against requests, by this entry's knowledge.
+        /// Number of endpoints that, as far as this entry knew, had a free slot and accepted
+        /// requests.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         free_endpoints: Option<usize>,
     },
-    /// An attempt ended without an answer for the caller.
+    /// An attempt ended without a complete response for the caller.
     AttemptFailed {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// Which attempt, from 1.
+        /// Number of the attempt, counted from 1.
         attempt: u32,
-        /// How.
+        /// How the attempt failed.
         failure: String,
-        /// Whether anything may have run.
+        /// Whether the endpoint may have run the request.
         may_have_run: bool,
         /// Attempts that the route still allows.
         attempts_left: u32,
-        /// Urgency of its route, 0 first.
+        /// Urgency of its route; 0 is the highest.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         urgency: Option<u8>,
-        /// Requests at the endpoint without this one, of all entries as far as known.
+        /// Other requests running at the endpoint, of all entries as far as known.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         running: Option<u32>,
-        /// Slots of the endpoint.
+        /// Number of requests that the endpoint can run at a time.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         slots: Option<u32>,
-        /// Digest of what was asked for; the same for every repeat of it.
+        /// Digest of what the request asks for, the same for every repeat; empty where the
+        /// endpoint did not run it.
         #[serde(skip_serializing_if = "String::is_empty", default)]
         fingerprint: String,
     },
-    /// A request that was sent ended.
+    /// A request ended after it was sent, or its caller disconnected.
     Ended {
-        /// Route.
+        /// Name of the route.
         route: String,
-        /// Endpoint.
+        /// Identity of the endpoint that it was last sent to; empty where it was not sent.
         endpoint: String,
-        /// How.
+        /// How it ended.
         how: RequestOutcome,
-        /// Urgency of its route, 0 first.
+        /// Urgency of its route; 0 is the highest.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         urgency: Option<u8>,
-        /// Status that the caller got; 0 when none.
+        /// Status code of the response to the caller; 0 where it got no complete response.
         status: u16,
-        /// Time until the first byte of the answer left, in ms.
+        /// Time from its arrival until the first byte of the response was sent, in ms.
         first_ms: Option<u64>,
-        /// Longest time between two pieces of the answer, in ms; `None` where it left in one.
+        /// Longest time between two chunks of the response, in ms; `None` where fewer than two
+        /// were sent.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         pause_ms: Option<u64>,
-        /// Time in all, in ms.
+        /// Time from its arrival to its end, in ms.
         total_ms: u64,
     },
     /// A configuration came into force.
     CatalogInForce {
         /// Its version.
         version: u64,
-        /// The one before; 0 for none.
+        /// Version of the previous one; 0 for none.
         before: u64,
-        /// Where it came from.
+        /// `store`, or the address of the peer that sent it.
         from: String,
     },
-    /// An endpoint was listed, changed or left.
+    /// An endpoint was added to the list, changed or removed.
     EndpointListed {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// What it is now.
+        /// Its status now.
         standing: String,
-        /// Revision of the list.
+        /// Store revision of the change.
         revision: u64,
     },
     /// The list of endpoints is complete up to a later revision.
     ListKnown {
-        /// `store`, `listing` for all of it anew, or the peer's address.
+        /// `store`, `listing` where the whole list was read again, or the peer's address.
         from: String,
         /// Revision up to which it was complete before.
         after: u64,
-        /// Revision up to which it is complete.
+        /// Revision up to which it is complete now.
         up_to: u64,
     },
-    /// An availability zone was cordoned, so that nothing new is sent to its endpoints, or taken back.
+    /// An availability zone was cordoned, so that its endpoints get no new requests, or uncordoned.
     ZoneCordon {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it is cordoned.
+        /// Whether it is cordoned now.
         cordoned: bool,
-        /// Revision of the list.
+        /// Store revision of the change.
         revision: u64,
     },
-    /// An entry of the store can't be read and names nothing; told when it is seen first.
+    /// An entry of the store can't be parsed and is ignored; logged once for each key.
     EntryUnreadable {
         /// Its key.
         key: String,
-        /// What is wrong with it.
+        /// The error.
         why: String,
     },
-    /// An endpoint announced something of itself in an answer.
+    /// An endpoint announced in a response that it wants no requests.
     EndpointAnnounced {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// What.
+        /// What it announced.
         announces: Unwilling,
-        /// For how long, in ms; `None` where it is told no end.
+        /// For how long, in ms; `None` where no end is known.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         for_ms: Option<u64>,
-        /// The caller's id of the request that it answered.
+        /// The caller's id of the request that the response belongs to.
         in_answer_to: String,
     },
-    /// An endpoint named another limit for all instances together, or none any more.
+    /// An endpoint changed or withdrew its rate limit for all instances together.
     EndpointLimited {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// Requests a second; `None` where it has no limit any more.
+        /// Requests per second; `None` where it has no limit any more.
         per_s: Option<f64>,
-        /// The caller's id of the request that it answered; `None` where a peer told it.
+        /// The caller's id of the request in whose response the endpoint announced it; `None`
+        /// where a peer passed it on.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         in_answer_to: Option<String>,
-        /// That peer.
+        /// The peer that passed it on.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         told_by: Option<String>,
     },
-    /// An endpoint was set aside or taken back.
+    /// An endpoint was ejected because of failures, or is used normally again.
     EndpointHealth {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// Whether it is set aside.
+        /// Whether it is ejected now.
         aside: bool,
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// The life of an endpoint is over, and runs were lost with it.
+    /// An endpoint ended, and the runs that it had not finished were lost.
     EndpointEnded {
-        /// Endpoint.
+        /// Identity of the endpoint.
         endpoint: String,
-        /// What showed it.
+        /// How the end was detected.
         sign: EndSign,
-        /// Digests of what those runs were asked for.
+        /// Fingerprints of the lost requests.
         lost: Vec<String>,
     },
-    /// Endpoints ended in a row under a request, which is not sent any more.
+    /// Several endpoints in a row ended while they ran a request, so it is not sent any more.
     RequestRefused {
-        /// Digest of what is asked for.
+        /// Digest of what the request asks for.
         fingerprint: String,
-        /// Ends in a row.
+        /// Number of endpoints that ended in a row.
         ends: usize,
         /// Time for which it is refused, in ms.
         for_ms: u64,
     },
-    /// The configuration store was lost or regained.
+    /// The configuration store stopped answering, or answers again.
     Store {
         /// Whether it answers.
         answers: bool,
-        /// What was seen.
+        /// The error, or what shows that it answers.
         why: String,
     },
-    /// A document was read from the store or a peer; told when that failed or brought much.
+    /// A document was read from the store or a peer; logged when that failed or the document was
+    /// large.
     DocumentRead {
-        /// Which.
+        /// Kind of document.
         document: Document,
         /// `store`, or the peer's address.
         from: String,
-        /// How it failed; `None` where it went well.
+        /// The error; `None` where the read succeeded.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         failure: Option<String>,
-        /// Bytes of the answer's body that came.
+        /// Bytes of the response body that arrived.
         bytes: u64,
-        /// Time in all, in ms.
+        /// Total time, in ms.
         took_ms: u64,
     },
-    /// A peer was lost or regained.
+    /// A peer is heard that was not heard before.
     Peer {
         /// Its address.
         peer: String,
-        /// Whether it is heard.
+        /// Whether it is heard; lines are written only when it is.
         heard: bool,
-        /// Peers heard now.
+        /// Number of peers that are heard now.
         peers: usize,
     },
-    /// The process started, became ready or unready, reloads, stops or ends.
+    /// The process started, reloaded its settings, is stopping or ended, resumed after its machine
+    /// was suspended, or started or ceased to watch the store.
     Process {
-        /// Which.
+        /// The new state.
         state: String,
-        /// Why, or with what.
+        /// Reason or details.
         note: String,
     },
-    /// Lines that the bound on their number dropped in the last second.
+    /// Lines that were dropped in the last second because of the limits on their number.
     Dropped {
         /// About served requests.
         served: u64,
         /// About failed requests.
         failed: u64,
-        /// About beliefs.
+        /// About changes of state.
         beliefs: u64,
-        /// Lines that a full pipe dropped since the start.
+        /// Lines that the writer has dropped since the start because its pipe was full.
         writer: u64,
     },
 }
 
-/// What a line is about; each kind has its own bound.
+/// What a line is about; each kind has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum LineKind {
     Served,
     Failed,
-    /// A failure of the most urgent requests, apart from those of others, which are many while the urgent fail.
+    /// A failure of a request of the highest urgency, counted apart from other failures: when the
+    /// urgent ones fail, there are many others.
     UrgentFailed,
-    Belief,
+    StateChange,
 }
 
 impl Decision {
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> LineKind {
         match self {
-            Self::Placed { .. } => Kind::Served,
-            Self::Ended { how, .. } if *how == RequestOutcome::Served => Kind::Served,
+            Self::Placed { .. } => LineKind::Served,
+            Self::Ended { how, .. } if *how == RequestOutcome::Served => LineKind::Served,
             Self::Refused { urgency, .. }
             | Self::AttemptFailed { urgency, .. }
             | Self::Ended { urgency, .. } => match urgency {
-                Some(0) => Kind::UrgentFailed,
-                _ => Kind::Failed,
+                Some(0) => LineKind::UrgentFailed,
+                _ => LineKind::Failed,
             },
-            _ => Kind::Belief,
+            _ => LineKind::StateChange,
         }
     }
 }
 
-/// Whether a count is left out of a line.
+/// Whether a count is 0, which leaves it out of a line.
 fn is_zero(count: &u64) -> bool {
     *count == 0
 }
@@ -398,38 +412,39 @@
 /// One line of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Wall time, in ms since the epoch.
+    /// Wall time, in ms since the Unix epoch.
     pub at: Millis,
-    /// Time since the process started, in ms; it does not jump.
+    /// Time since the process started, in ms; monotonic, and it includes time in which the machine
+    /// was suspended.
     pub up: Millis,
-    /// The caller's id of the request, for lines about one.
+    /// The caller's id of the request; `None` for lines about the process.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub request: Option<String>,
-    /// What was decided.
+    /// The decision or change of state.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// Where lines go; writing must not block.
+/// Output for lines; a write must not block.
 pub type LineWriter = Box<dyn Write>;
-/// How many lines the writer has dropped because its reader was too slow.
+/// Returns how many lines the writer has dropped so far because its reader was too slow.
 pub type DropCount = Box<dyn Fn() -> u64>;
 
-/// Counts of one second.
+/// Numbers of lines in the current second.
 #[derive(Debug, Default)]
-struct Second {
-    /// Lines written, by [`Kind`].
-    written: [Cell<u32>; KINDS],
-    /// Lines that the bound dropped, by [`Kind`].
-    dropped: [Cell<u64>; KINDS],
+struct LineCounts {
+    /// Lines written, by [`LineKind`].
+    written: [Cell<u32>; KIND_COUNT],
+    /// Lines dropped because of the limit, by [`LineKind`].
+    dropped: [Cell<u64>; KIND_COUNT],
 }
 
-/// The log of one process.
+/// The decision log of one process.
 pub struct DecisionLog {
     clock: Clock,
     writer: RefCell<LineWriter>,
-    writer_dropped: DropCount,
-    second: Second,
+    writer_drop_count: DropCount,
+    counts: LineCounts,
 }
 
 impl std::fmt::Debug for DecisionLog {
@@ -439,52 +454,52 @@
 }
 
 impl DecisionLog {
-    /// A log on a writer that must not block.
-    pub fn new(clock: Clock, writer: LineWriter, writer_dropped: DropCount) -> Self {
+    /// Creates a log on a writer that must not block.
+    pub fn new(clock: Clock, writer: LineWriter, writer_drop_count: DropCount) -> Self {
         Self {
             clock,
             writer: RefCell::new(writer),
-            writer_dropped,
-            second: Second::default(),
+            writer_drop_count,
+            counts: LineCounts::default(),
         }
     }
 
-    /// Writes a line about a request.
+    /// Writes a line about the request with this id.
     pub fn request(&self, id: &[u8], decision: Decision) {
         self.write(Some(String::from_utf8_lossy(id).into_owned()), decision);
     }
 
-    /// Writes a line about the process or what it believes.
+    /// Writes a line about a change of the process's state or knowledge.
     pub fn state_change(&self, decision: Decision) {
         self.write(None, decision);
     }
 
-    /// Begins a new second; tells what the last one dropped.
+    /// Starts counting a new second, and logs how many lines were dropped in the last one.
     pub fn next_second(&self) {
-        for written in &self.second.written {
+        for written in &self.counts.written {
             written.set(0);
         }
-        let [served, failed, urgent, beliefs] = self.second.dropped.each_ref().map(Cell::take);
+        let [served, failed, urgent, beliefs] = self.counts.dropped.each_ref().map(Cell::take);
         if served + failed + urgent + beliefs > 0 {
             self.state_change(Decision::Dropped {
                 served,
                 failed: failed + urgent,
                 beliefs,
-                writer: (self.writer_dropped)(),
+                writer: (self.writer_drop_count)(),
             });
         }
     }
 
     fn write(&self, request: Option<String>, decision: Decision) {
-        let (place, most) = match decision.kind() {
-            Kind::Served => (0, SERVED_LINES),
-            Kind::Failed => (1, FAILED_LINES),
-            Kind::UrgentFailed => (2, FAILED_LINES),
-            Kind::Belief => (3, BELIEF_LINES),
+        let (index, limit) = match decision.kind() {
+            LineKind::Served => (0, MAX_SERVED_LINES_PER_S),
+            LineKind::Failed => (1, MAX_FAILED_LINES_PER_S),
+            LineKind::UrgentFailed => (2, MAX_FAILED_LINES_PER_S),
+            LineKind::StateChange => (3, MAX_STATE_LINES_PER_S),
         };
-        let written = &self.second.written[place];
-        if written.get() >= most {
-            let dropped = &self.second.dropped[place];
+        let written = &self.counts.written[index];
+        if written.get() >= limit {
+            let dropped = &self.counts.dropped[index];
             dropped.set(dropped.get() + 1);
             return;
         }
@@ -499,7 +514,7 @@
             return;
         };
         text.push(b'\n');
-        // A failed write can't be logged; the writer counts what it drops.
+        // A failed write can't be logged. The writer counts the lines that it drops.
         let _ = self.writer.borrow_mut().write_all(&text);
     }
 }
