--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -1,9 +1,10 @@
-//! The directory: endpoints as the platform lists them, with the gaps of its outages bridged, and the
+//! The directory: the endpoints on the platform's list, kept through outages of that list, and the
 //! availability zones that are cordoned.
 //!
-//! Entries disappear from the platform's list for two reasons: the endpoint has left, or the list
-//! was away and the entry lapsed meanwhile. The first must be obeyed at once, the second must not.
-//! They are told apart by whether the list was away shortly before.
+//! An entry disappears from the list for one of two reasons: the endpoint has left, or the list was
+//! unavailable and the entry expired meanwhile. In the first case the endpoint must get no more
+//! requests, in the second case it must stay in use. An entry that disappears while the list is
+//! unavailable or shortly after is assumed to have expired.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -15,31 +16,32 @@
 use crate::direct::cordons::Cordons;
 pub use crate::direct::listed::{Change, Cordon, Listed, Listing, Revision};
 
-/// Time after the list's return within which live endpoints have written their entries again;
-/// the platform gives them about two seconds.
+/// Time within which live endpoints have written their entries again after the list became
+/// available; the platform gives them about two seconds.
 pub const LAPSE_GRACE: Millis = Millis(2_200);
 
 new_key_type! {
-    /// An endpoint in the directory; never used again for another one.
+    /// Key of an endpoint in the directory; never reused for another endpoint.
     pub struct EndpointKey;
 }
 
-/// Whether an endpoint takes new work.
+/// What the list says about whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the requests that it has.
     Draining,
-    /// Its entry disappeared while the list was away; it counts as ready until then.
+    /// Its entry expired while the list was unavailable; it counts as ready until this time.
     Lapsed(Millis),
-    /// The same, and another endpoint has been listed at its address since: it has left for good.
+    /// Its entry expired while the list was unavailable, and another endpoint has been listed at
+    /// its address since: it has left for good.
     Displaced,
 }
 
 impl EndpointStatus {
-    /// Whether an endpoint that stands so takes new work.
-    const fn is_open(self) -> bool {
+    /// Whether an endpoint of this status accepts new requests.
+    const fn accepts_work(self) -> bool {
         match self {
             Self::Ready | Self::Lapsed(_) => true,
             Self::Draining | Self::Displaced => false,
@@ -47,49 +49,55 @@
     }
 }
 
-/// An endpoint and what follows from its entries.
+/// An endpoint, with what its list entries and its own announcements say about it.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Its newest entry.
+    /// Its newest list entry.
     pub listed: Listed,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests according to the list.
     pub status: EndpointStatus,
-    /// Digest of this life of it, for messages between entries.
+    /// Digest of its identity and start time, which names it in messages between entries.
     pub digest: u32,
-    /// What it has announced of itself. No word of the list takes that back: the list hears later than the callers
-    /// of the endpoint, and not at all while the store is away.
+    /// What it has announced in its responses. The list does not override it: the list learns of a
+    /// change later than this entry does, and not at all while the store is unavailable.
     pub announced: Announced,
-    /// Until when it warms up by its entries, counted from when they were taken; 0 where none said so.
-    told_warm_at: Millis,
-    /// When something showed that it may have begun to warm up since its newest entry.
-    doubted: Option<Millis>,
+    /// End of its warm-up according to its list entries, counted from when they were received; 0
+    /// where none of them announced a warm-up.
+    listed_warm_until: Millis,
+    /// When it may have started to warm up after its newest list entry was written; `None` where
+    /// nothing suggests that.
+    assumed_warm_up: Option<Millis>,
 }
 
 impl Endpoint {
-    /// Until when it is taken to warm up, where that takes `time` from its beginning; 0 where nothing ever
-    /// said that it does.
-    pub fn warm_until(&self, time: Millis) -> Millis {
-        let doubted = self.doubted.map(|at| at + time);
-        doubted.map_or(self.told_warm_at, |until| until.max(self.told_warm_at))
+    /// End of its listed or assumed warm-up, whichever is later; an assumed one takes `duration`. 0
+    /// where neither the list nor an observation ever suggested a warm-up.
+    pub fn warm_until(&self, duration: Millis) -> Millis {
+        let assumed_end = self.assumed_warm_up.map(|at| at + duration);
+        assumed_end.map_or(self.listed_warm_until, |until| {
+            until.max(self.listed_warm_until)
+        })
     }
 
-    /// Whether it warms up by its own entries.
+    /// Whether it is warming up according to its list entries.
     pub fn is_listed_warming(&self, now: Millis) -> bool {
-        now < self.told_warm_at
+        now < self.listed_warm_until
     }
 
-    /// Takes what a newer entry says of warming up.
-    fn hear_warming(&mut self, warming: Millis, now: Millis) {
-        let was_warming = now < self.told_warm_at || self.doubted.is_some();
+    /// Applies the remaining warm-up time of a newer list entry.
+    fn update_warm_up(&mut self, warming: Millis, now: Millis) {
+        let was_warming = now < self.listed_warm_until || self.assumed_warm_up.is_some();
         if warming > Millis(0) || was_warming {
-            self.told_warm_at = now + warming;
+            self.listed_warm_until = now + warming;
         }
-        self.doubted = None;
+        self.assumed_warm_up = None;
     }
 }
 
-/// First four bytes of the BLAKE3 hash of an identity and its life; equal in all entries. Two endpoints of
-/// one digest would share what peers tell of them, which is soft; two lives of one endpoint don't.
+/// First four bytes of the BLAKE3 hash of an endpoint's identity and its start time, if known. All
+/// entries compute the same value. Endpoints with colliding digests would share what peers report
+/// about them, which only makes estimates less accurate. An endpoint that is started again gets
+/// another digest.
 pub fn digest(id: &str, born: Option<u64>) -> u32 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(id.as_bytes());
@@ -102,51 +110,52 @@
     u32::from_be_bytes(head)
 }
 
-/// All endpoints that may take work or have some.
+/// All endpoints that may accept requests or still have some.
 #[derive(Debug, Default)]
 pub struct Directory {
-    arena: SlotMap<EndpointKey, Endpoint>,
+    endpoints: SlotMap<EndpointKey, Endpoint>,
     by_id: HashMap<String, EndpointKey>,
     by_digest: HashMap<u32, EndpointKey>,
+    /// Announcements of endpoints that were removed.
     former: FormerLives,
     cordons: Cordons,
     /// Whether the list can't be read now.
-    away: bool,
-    /// When it could be read again after it was away last.
-    returned: Option<Millis>,
+    unavailable: bool,
+    /// When the list became available after its last outage; `None` before the first one.
+    available_since: Option<Millis>,
 }
 
 impl Directory {
-    /// The list can't be read.
+    /// Notes that the list can't be read.
     pub fn list_unavailable(&mut self) {
-        self.away = true;
+        self.unavailable = true;
     }
 
-    /// The list answers (again).
+    /// Notes that the list can be read. After an outage, the grace of expired entries starts now.
     pub fn list_available(&mut self, now: Millis) {
-        if !self.away {
+        if !self.unavailable {
             return;
         }
-        self.away = false;
-        self.returned = Some(now);
-        for endpoint in self.arena.values_mut() {
+        self.unavailable = false;
+        self.available_since = Some(now);
+        for endpoint in self.endpoints.values_mut() {
             if let EndpointStatus::Lapsed(until) = &mut endpoint.status {
                 *until = now + LAPSE_GRACE;
             }
         }
     }
 
-    /// Takes a change; returns the key of an endpoint that left for good, or whose life is over.
+    /// Applies a change; returns the key of an endpoint that left for good or was started again.
     pub fn apply(&mut self, change: Change, now: Millis) -> Option<EndpointKey> {
         match change {
             Change::Put(listed) => {
                 let gone = self.put(listed, now);
-                self.displace();
+                self.mark_displaced();
                 gone
             }
             Change::Removed { id, revision } => {
-                let gone = self.removed(&id, revision, now);
-                self.displace();
+                let gone = self.entry_removed(&id, revision, now);
+                self.mark_displaced();
                 gone
             }
             Change::Cordoned(cordon) => {
@@ -155,17 +164,17 @@
             }
             Change::Uncordoned(cordon) => {
                 if self.cordons.uncordon(&cordon) {
-                    self.doubt_zone(&cordon.zone, now);
+                    self.assume_zone_warm_up(&cordon.zone, now);
                 }
                 None
             }
         }
     }
 
-    /// Replaces everything by a whole listing that was begun at `revision`.
+    /// Replaces everything by a complete listing whose read began at `revision`.
     ///
-    /// Entries that it does not hold have disappeared; returns the keys of endpoints that left for good, or
-    /// whose life is over.
+    /// Entries that it lacks have disappeared, unless they are newer than `revision`. Returns the
+    /// keys of endpoints that left for good or were started again.
     pub fn replace(
         &mut self,
         all: impl Into<Listing>,
@@ -173,7 +182,7 @@
         now: Millis,
     ) -> Vec<EndpointKey> {
         let all = all.into();
-        let held: HashSet<String> = all.endpoints.iter().map(|l| l.id.clone()).collect();
+        let listed_ids: HashSet<String> = all.endpoints.iter().map(|l| l.id.clone()).collect();
         let mut gone = Vec::new();
         for listed in all.endpoints {
             gone.extend(self.put(listed, now));
@@ -181,17 +190,18 @@
         let missing: Vec<String> = self
             .by_id
             .keys()
-            .filter(|id| !held.contains(*id))
+            .filter(|id| !listed_ids.contains(*id))
             .cloned()
             .collect();
         let left = missing.iter();
-        gone.extend(left.filter_map(|id| self.removed(id, revision, now)));
-        self.displace();
+        gone.extend(left.filter_map(|id| self.entry_removed(id, revision, now)));
+        self.mark_displaced();
         self.replace_cordons(all.cordons, revision, now);
         gone
     }
 
-    /// What the cordons that stood at `revision` change in a list that is complete up to `before`.
+    /// Changes that lead from a list that is complete up to `before` to the cordons in force at
+    /// `revision`.
     pub fn cordon_changes_to(
         &self,
         all: &[Cordon],
@@ -201,18 +211,22 @@
         self.cordons.changes_to(all, before, revision)
     }
 
-    /// Replaces all cordons by those that stood at `revision`.
+    /// Replaces all cordons by those in force at `revision`.
     fn replace_cordons(&mut self, all: Vec<Cordon>, revision: Revision, now: Millis) {
         for zone in self.cordons.replace(all, revision) {
-            self.doubt_zone(&zone, now);
+            self.assume_zone_warm_up(&zone, now);
         }
     }
 
-    /// What a whole listing that was begun at `begun` changes in a list that is complete up to `before`.
+    /// Changes that lead from a list that is complete up to `before` to a complete listing whose
+    /// read began at revision `begun`.
     pub fn changes_to(&self, all: &Listing, before: Revision, begun: Revision) -> Vec<Change> {
         let newer = all.endpoints.iter().filter(|l| l.revision > before);
-        let held: HashSet<&str> = all.endpoints.iter().map(|l| l.id.as_str()).collect();
-        let missing = self.by_id.keys().filter(|id| !held.contains(id.as_str()));
+        let listed_ids: HashSet<&str> = all.endpoints.iter().map(|l| l.id.as_str()).collect();
+        let missing = self
+            .by_id
+            .keys()
+            .filter(|id| !listed_ids.contains(id.as_str()));
         let removed = missing.map(|id| Change::Removed {
             id: id.clone(),
             revision: begun,
@@ -222,19 +236,20 @@
         endpoints.chain(cordons).collect()
     }
 
-    /// Finds lapsed entries whose address another endpoint has been listed at since. What is sent for them reaches that
-    /// one, though it may rest, and is refused there.
-    fn displace(&mut self) {
+    /// Marks expired entries as displaced where another endpoint has been listed at their address
+    /// since. Requests for them would reach that endpoint, which refuses them and may have asked
+    /// this instance to back off.
+    fn mark_displaced(&mut self) {
         let is_lapsed = |e: &Endpoint| matches!(e.status, EndpointStatus::Lapsed(_));
-        if !self.arena.values().any(is_lapsed) {
+        if !self.endpoints.values().any(is_lapsed) {
             return;
         }
         let mut listed: HashMap<SocketAddr, Revision> = HashMap::new();
-        for endpoint in self.arena.values().filter(|e| !is_lapsed(e)) {
+        for endpoint in self.endpoints.values().filter(|e| !is_lapsed(e)) {
             let newest = listed.entry(endpoint.listed.address).or_default();
             *newest = endpoint.listed.revision.max(*newest);
         }
-        for endpoint in self.arena.values_mut().filter(|e| is_lapsed(e)) {
+        for endpoint in self.endpoints.values_mut().filter(|e| is_lapsed(e)) {
             let newest = listed.get(&endpoint.listed.address);
             if newest.is_some_and(|newest| *newest > endpoint.listed.revision) {
                 endpoint.status = EndpointStatus::Displaced;
@@ -242,10 +257,11 @@
         }
     }
 
-    /// Ends the grace of lapsed entries; returns those that left for good.
+    /// Removes displaced endpoints and those whose grace after an outage has ended, and returns
+    /// their keys. Does nothing while the list is unavailable.
     pub fn expire(&mut self, now: Millis) -> Vec<EndpointKey> {
-        let over: Vec<EndpointKey> = self
-            .arena
+        let expired: Vec<EndpointKey> = self
+            .endpoints
             .iter()
             .filter(|(_, e)| match e.status {
                 EndpointStatus::Lapsed(until) => now >= until,
@@ -254,27 +270,27 @@
             })
             .map(|(key, _)| key)
             .collect();
-        if self.away {
+        if self.unavailable {
             return Vec::new();
         }
-        for key in &over {
+        for key in &expired {
             self.remove(*key, now);
         }
-        over
+        expired
     }
 
-    /// An endpoint.
+    /// The endpoint with this key; `None` once it has been removed.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
-        self.arena.get(key)
+        self.endpoints.get(key)
     }
 
-    /// Whether an endpoint may be given new work now.
+    /// Whether an endpoint may be sent new requests now; false once it has been removed.
     pub fn takes_work(&self, key: EndpointKey, now: Millis) -> bool {
-        self.get(key).is_some_and(|e| self.is_open(e, now))
+        self.get(key).is_some_and(|e| self.accepts_work(e, now))
     }
 
-    /// An endpoint announced something of itself, of which a time is believed for `longest` at most; what it had
-    /// announced before.
+    /// Records what an endpoint announced in a response; a requested back-off is limited to
+    /// `longest`. Returns what it had announced before; `None` once it has been removed.
     pub fn record_announcement(
         &mut self,
         key: EndpointKey,
@@ -282,100 +298,107 @@
         now: Millis,
         longest: Millis,
     ) -> Option<Announced> {
-        let endpoint = self.arena.get_mut(key)?;
+        let endpoint = self.endpoints.get_mut(key)?;
         let before = endpoint.announced;
         endpoint.announced.take(announcement, now, longest);
         Some(before)
     }
 
-    /// Whether nothing new is sent to the endpoints of an availability zone.
+    /// Whether an availability zone is cordoned, so that its endpoints get no new requests.
     pub fn is_cordoned(&self, zone: &str) -> bool {
         self.cordons.holds(zone)
     }
 
-    /// An endpoint may have begun to warm up without its entry saying so.
+    /// Notes that an endpoint may have started to warm up although its list entry does not say so.
     pub fn assume_warm_up(&mut self, key: EndpointKey, now: Millis) {
-        if let Some(endpoint) = self.arena.get_mut(key) {
-            endpoint.doubted = Some(now);
+        if let Some(endpoint) = self.endpoints.get_mut(key) {
+            endpoint.assumed_warm_up = Some(now);
         }
     }
 
-    /// Endpoints of a pool that take new work.
+    /// Endpoints of a pool that may be sent new requests now.
     pub fn available_in_pool<'a>(
         &'a self,
         pool: &'a str,
         now: Millis,
     ) -> impl Iterator<Item = (EndpointKey, &'a Endpoint)> + 'a {
-        let all = self.arena.iter();
-        all.filter(move |(_, e)| e.listed.pool == pool && self.is_open(e, now))
+        let all = self.endpoints.iter();
+        all.filter(move |(_, e)| e.listed.pool == pool && self.accepts_work(e, now))
     }
 
-    /// When the first endpoint of a pool has rested that would take work otherwise; `None` where none rests.
+    /// Earliest end of a back-off that an endpoint of the pool has asked for, among those that
+    /// accept requests again after it; `None` where there is none.
     pub fn earliest_backoff_end(&self, pool: &str, now: Millis) -> Option<Millis> {
-        let of_pool = self.arena.values().filter(|e| e.listed.pool == pool);
-        let resting = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
-        let resting = resting.filter(|e| self.is_open(e, e.announced.rests_until));
-        resting.map(|e| e.announced.rests_until).min()
+        let of_pool = self.endpoints.values().filter(|e| e.listed.pool == pool);
+        let backing_off = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
+        let backing_off = backing_off.filter(|e| self.accepts_work(e, e.announced.rests_until));
+        backing_off.map(|e| e.announced.rests_until).min()
     }
 
-    /// What the platform's list held by the newest changes: all endpoints but those whose entries lapsed, and the cordons.
+    /// The platform's list as of the newest changes: all endpoints except those whose entries have
+    /// expired, and the cordons.
     pub fn listing(&self) -> Listing {
         let is_listed =
             |e: &&Endpoint| matches!(e.status, EndpointStatus::Ready | EndpointStatus::Draining);
-        let listed = self.arena.values().filter(is_listed);
+        let listed = self.endpoints.values().filter(is_listed);
         Listing {
             endpoints: listed.map(|e| e.listed.clone()).collect(),
             cordons: self.cordons.standing().collect(),
         }
     }
 
-    /// Endpoints of the smallest pool; 0 where there is none.
+    /// Number of endpoints in the smallest pool; 0 where there are none.
     pub fn smallest_pool_size(&self) -> usize {
         let mut counts: HashMap<&str, usize> = HashMap::new();
-        for endpoint in self.arena.values() {
+        for endpoint in self.endpoints.values() {
             *counts.entry(&endpoint.listed.pool).or_default() += 1;
         }
         counts.into_values().min().unwrap_or(0)
     }
 
-    /// All endpoints.
+    /// All endpoints, whatever their status.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
-        self.arena.iter()
+        self.endpoints.iter()
     }
 
-    /// Key of an endpoint by its identity.
+    /// Key of the endpoint with this identity.
     pub fn key(&self, id: &str) -> Option<EndpointKey> {
         self.by_id.get(id).copied()
     }
 
-    /// Key of an endpoint by the digest of its identity.
+    /// Key of the endpoint with this [`digest`].
     pub fn by_digest(&self, digest: u32) -> Option<EndpointKey> {
         self.by_digest.get(&digest).copied()
     }
 
-    /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
-    fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
+    /// Whether an endpoint accepts new requests according to both the list and its own
+    /// announcements, and its availability zone is not cordoned.
+    fn accepts_work(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.standing(now).is_none();
-        is_willing && endpoint.status.is_open() && !self.cordons.holds(&endpoint.listed.zone)
+        is_willing && endpoint.status.accepts_work() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
-    /// The endpoints of a zone that takes work again may have to warm up.
-    fn doubt_zone(&mut self, zone: &str, now: Millis) {
-        let of_zone = self.arena.values_mut().filter(|e| e.listed.zone == zone);
+    /// Notes that the endpoints of a zone that was uncordoned may have to warm up.
+    fn assume_zone_warm_up(&mut self, zone: &str, now: Millis) {
+        let of_zone = self
+            .endpoints
+            .values_mut()
+            .filter(|e| e.listed.zone == zone);
         for endpoint in of_zone {
-            endpoint.doubted = Some(now);
+            endpoint.assumed_warm_up = Some(now);
         }
     }
 
-    /// Takes an entry unless a newer one of the same endpoint is known. Returns the key of an earlier life
-    /// of the endpoint: the new one holds and knows nothing of what that had.
+    /// Adds or updates an endpoint, unless a newer entry of it is known. Where the endpoint was
+    /// started again, it gets a new key and the old one is returned, because the new process has
+    /// neither the requests nor the memory of the old one.
     fn put(&mut self, listed: Listed, now: Millis) -> Option<EndpointKey> {
         let known = self.by_id.get(&listed.id).copied();
         let Some(key) = known else {
             self.insert(listed, now);
             return None;
         };
-        let endpoint = self.arena.get_mut(key)?;
+        let endpoint = self.endpoints.get_mut(key)?;
         if endpoint.listed.revision > listed.revision {
             return None;
         }
@@ -385,7 +408,7 @@
             return Some(key);
         }
         if endpoint.listed.revision < listed.revision {
-            endpoint.hear_warming(listed.warming, now);
+            endpoint.update_warm_up(listed.warming, now);
         }
         endpoint.status = listed_status(&listed);
         let born = listed.born.or(endpoint.listed.born);
@@ -401,20 +424,21 @@
             status: listed_status(&listed),
             announced: self.former.take(&id, listed.born),
             listed,
-            told_warm_at: Millis(0),
-            doubted: None,
+            listed_warm_until: Millis(0),
+            assumed_warm_up: None,
         };
-        endpoint.hear_warming(endpoint.listed.warming, now);
-        let key = self.arena.insert(endpoint);
+        endpoint.update_warm_up(endpoint.listed.warming, now);
+        let key = self.endpoints.insert(endpoint);
         self.by_digest.insert(digest, key);
         self.by_id.insert(id, key);
     }
 
-    /// An entry disappeared: the endpoint has left, or its entry lapsed while the list was away.
-    /// Returns the key of an endpoint that left for good.
-    fn removed(&mut self, id: &str, revision: Revision, now: Millis) -> Option<EndpointKey> {
+    /// Handles an entry that disappeared: during an outage of the list or shortly after, a ready
+    /// endpoint that has not announced its end stays in use for a grace. Otherwise the endpoint is
+    /// removed, and its key is returned.
+    fn entry_removed(&mut self, id: &str, revision: Revision, now: Millis) -> Option<EndpointKey> {
         let key = *self.by_id.get(id)?;
-        let endpoint = self.arena.get_mut(key)?;
+        let endpoint = self.endpoints.get_mut(key)?;
         let was_removed = matches!(
             endpoint.status,
             EndpointStatus::Lapsed(_) | EndpointStatus::Displaced
@@ -422,12 +446,12 @@
         if endpoint.listed.revision > revision || was_removed {
             return None;
         }
-        let lapsed = match self.returned {
-            _ if self.away => Some(now + LAPSE_GRACE),
+        let grace_end = match self.available_since {
+            _ if self.unavailable => Some(now + LAPSE_GRACE),
             Some(at) if now < at + LAPSE_GRACE => Some(at + LAPSE_GRACE),
             _ => None,
         };
-        match lapsed {
+        match grace_end {
             Some(until)
                 if endpoint.status == EndpointStatus::Ready && !endpoint.announced.leaves =>
             {
@@ -442,7 +466,7 @@
     }
 
     fn remove(&mut self, key: EndpointKey, now: Millis) {
-        if let Some(endpoint) = self.arena.remove(key) {
+        if let Some(endpoint) = self.endpoints.remove(key) {
             let Listed { id, born, .. } = &endpoint.listed;
             self.former.keep(id, *born, endpoint.announced, now);
             self.by_id.remove(id);
