--- a/src/direct/catalog.rs
+++ b/src/direct/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog: routes, pools and teams of one configuration version, indexed for look-up.
+//! The catalog: routes, pools and teams of one configuration version, indexed for lookups.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,64 +10,66 @@
 use crate::direct::warmup::WarmUp;
 use crate::ids::TeamKey;
 
-/// Position of a route in the catalog's list.
+/// Index of a route in [`Catalog::routes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RouteKey(pub usize);
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatPolicy {
-    /// At most one run; an unknown outcome must be told as such.
+    /// It runs at most once; where it is unknown whether it ran, the caller is told so.
     Once,
-    /// Another run is harmless.
+    /// It is idempotent and may run again.
     Harmless,
 }
 
-/// What an answer looks like.
+/// How responses are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseKind {
-    /// One body, delivered whole.
+    /// As one body, once it has arrived completely.
     Whole,
-    /// A series of events, delivered as they arrive.
+    /// As a stream of events, each as it arrives.
     Events {
-        /// Whether another endpoint can go on after the last delivered event.
+        /// Whether another endpoint can continue the stream after the last delivered event.
         resumable: bool,
-        /// Longest pause between events at which an answer is in time; 0 where none is told.
+        /// Longest pause between two events for which a response counts as in time; 0 where none
+        /// is configured.
         pause: Millis,
     },
 }
 
-/// How requests under one host and path prefix are treated.
+/// How requests for one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host as the caller names it, in lower case, without a port.
+    /// Host that callers name, in lower case, without a port.
     pub host: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
     /// Whether requests may run more than once.
     pub repeat: RepeatPolicy,
-    /// What answers look like.
+    /// How responses are delivered.
     pub shape: ResponseKind,
-    /// Longest time that a request is held.
+    /// Longest time that a request may take, from its arrival.
     pub timeout: Millis,
-    /// Time within which an answer (its first event) is in time.
+    /// Time within which a response, or the first event of a stream, counts as in time.
     pub target: Millis,
     /// Urgency; 0 is the highest.
     pub priority: u8,
-    /// Pools that take the requests, with their weights.
+    /// Pools among which the requests are split, with their weights.
     pub shares: Vec<PoolShare>,
-    /// Most endpoints to which one request may be sent.
+    /// Maximum number of endpoints to which one request may be sent.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// Regions whose endpoints may run its requests; none for any.
+    /// Regions whose endpoints may run the requests; empty for any region.
     pub regions: Vec<String>,
 }
 
 impl Route {
-    /// The pause that its streams allow; `None` where answers are whole or nothing is told.
+    /// Longest allowed pause between events; `None` where responses are not streams or no pause is
+    /// configured.
     pub fn pause(&self) -> Option<Millis> {
         match self.shape {
             ResponseKind::Events { pause, .. } if pause > Millis(0) => Some(pause),
@@ -76,84 +78,84 @@
     }
 }
 
-/// A pool's part of a route's requests.
+/// The share of a route's requests that goes to one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolShare {
     /// Name of the pool.
     pub pool: String,
-    /// Weight among the route's shares.
+    /// Weight relative to the route's other shares.
     pub weight: u32,
 }
 
-/// Endpoints of one kind.
+/// A group of interchangeable endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
     /// Name.
     pub name: String,
-    /// Connections that one endpoint accepts from all entries together.
+    /// Maximum number of connections that one endpoint accepts from all entries together.
     pub max_connections: u32,
-    /// What a model engine of this pool can hold; `None` for plain services.
+    /// Capacity of one model engine of this pool; `None` for plain services.
     pub engine: Option<EngineCapacity>,
-    /// How its endpoints warm up; `None` where that is not told.
+    /// How its endpoints warm up; `None` where that is not configured.
     pub warm_up: Option<WarmUp>,
 }
 
-/// Size of a model engine.
+/// Capacity of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCapacity {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Number of tokens that fit into its memory.
     pub memory_tokens: u64,
-    /// How memory moves between engines; `None` where it can't.
+    /// How prompt memory is copied between engines; `None` where that is not possible.
     pub moves: Option<TransferSpec>,
 }
 
-/// How the memory of prompts moves between engines.
+/// Size and bandwidth of copies of prompt memory between engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferSpec {
-    /// Bytes of memory of one token.
+    /// Memory of one token, in bytes.
     pub token_bytes: u64,
     /// Bandwidth of an engine's link, in Mbit/s.
     pub link_mbps: u64,
 }
 
 impl TransferSpec {
-    /// Time on the link, in ms.
+    /// Time to transfer the memory of this many tokens over the link, in ms.
     pub fn transfer_ms(&self, tokens: u64) -> f64 {
         let bits = tokens as f64 * self.token_bytes as f64 * 8.0;
         bits / (self.link_mbps.max(1) as f64 * 1_000.0)
     }
 }
 
-/// A team and what its requests inherit.
+/// A team, with the properties of its requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Name, told to endpoints.
+    /// Name, passed to endpoints.
     pub name: String,
-    /// Keys that its callers present.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Urgency that goes before the route's.
+    /// Urgency that overrides the route's; `None` for the route's own.
     pub priority: Option<u8>,
-    /// Regions whose endpoints may run its requests; none for any.
+    /// Regions whose endpoints may run its requests; empty for any region.
     pub regions: Vec<String>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for the head of a request to arrive.
+    /// Timeout for the head of a request, and for each further read of its body.
     pub head_time: Millis,
-    /// Time that an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_time: Millis,
 }
 
 impl Default for CallerLimits {
-    /// Bounds while no configuration has been read: common defaults of HTTP servers.
+    /// Limits while no configuration has been read: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
@@ -166,23 +168,24 @@
 
 /// The routes of one host.
 ///
-/// A request's route is found by the slashes of its path: 0.07 us among 10,000 routes with the
-/// tightest pause of a pool, where a look at each took 66 us.
+/// A route is looked up by each prefix of the request's path that ends with a slash. Among 10,000
+/// routes, that and the lookup of a pool's shortest pause take 0.07 us; comparing every route took
+/// 66 us.
 #[derive(Debug, Clone, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, RouteKey>,
-    /// Length of the longest prefix, in bytes.
+    /// Length of the longest route prefix, in bytes.
     longest: usize,
 }
 
 impl HostRoutes {
-    /// Adds a route unless there is one of this prefix.
+    /// Adds a route, unless one with the same prefix exists.
     fn add(&mut self, prefix: &str, key: RouteKey) {
         self.longest = self.longest.max(prefix.len());
         self.by_prefix.entry(prefix.to_owned()).or_insert(key);
     }
 
-    /// The route with the longest prefix that begins a path; prefixes end with a slash.
+    /// The route with the longest prefix that matches a path; prefixes end with a slash.
     fn find(&self, path: &str) -> Option<RouteKey> {
         let ends = path.rmatch_indices('/').map(|(at, slash)| at + slash.len());
         ends.skip_while(|end| *end > self.longest)
@@ -190,10 +193,10 @@
     }
 }
 
-/// One version of the configuration, as it is passed on.
+/// One version of the configuration, in the form that entries send to each other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogParts {
-    /// Version; rises with every change.
+    /// Version; increases with every change.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Rc<Route>>,
@@ -201,7 +204,7 @@
     pub pools: Vec<Pool>,
     /// All teams.
     pub teams: Vec<Team>,
-    /// Bounds for callers.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
 }
 
@@ -217,40 +220,40 @@
     }
 }
 
-/// One version of the configuration, read-only once built.
+/// One version of the configuration with its indexes, read-only once built.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
-    /// Version; rises with every change.
+    /// Version; increases with every change.
     pub version: u64,
-    /// All routes; versions share those that did not change.
+    /// All routes; routes that did not change are shared between versions.
     pub routes: Vec<Rc<Route>>,
     /// All pools.
     pub pools: Vec<Pool>,
-    /// All teams; none means that no request needs a key.
+    /// All teams; without teams, no request needs a key.
     pub teams: Vec<Team>,
-    /// Bounds for callers.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
-    /// Routes of each host.
+    /// Routes by host.
     by_host: HashMap<String, HostRoutes>,
-    /// The team that holds each key.
+    /// Teams by API key.
     by_key: HashMap<String, TeamKey>,
-    /// The tightest demands on each pool.
-    tightest: HashMap<String, Tightest>,
+    /// Time limits by name of the pool.
+    time_limits: HashMap<String, TimeLimits>,
 }
 
-/// The tightest demands of the routes of one pool; 0 where there is none.
+/// Time limits of the routes of one pool; each is 0 where no route has one.
 #[derive(Debug, Clone, Copy, Default)]
-struct Tightest {
-    /// Pause between the events of a stream.
+struct TimeLimits {
+    /// Shortest allowed pause between the events of a stream.
     pause: Millis,
-    /// Time for an answer or its first event.
+    /// Shortest target time for a response or its first event.
     target: Millis,
-    /// Longest time that requests of each band have.
+    /// Longest timeout of the routes in each band of urgency.
     longest: [Millis; BANDS],
 }
 
 impl Catalog {
-    /// Builds the indices of one version.
+    /// Builds a version and its indexes.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -262,7 +265,7 @@
         Self::with_shared_routes(version, routes, pools, teams, limits)
     }
 
-    /// The same of routes that other versions may hold as well.
+    /// Builds a version from routes that other versions may share.
     pub fn with_shared_routes(
         version: u64,
         routes: Vec<Rc<Route>>,
@@ -285,7 +288,7 @@
             .collect();
         Self {
             version,
-            tightest: tightest_demands(&routes),
+            time_limits: time_limits_by_pool(&routes),
             routes,
             pools,
             teams,
@@ -295,7 +298,7 @@
         }
     }
 
-    /// All that other entries need of it.
+    /// Everything that another entry needs to build the same version.
     pub fn parts(&self) -> CatalogParts {
         CatalogParts {
             version: self.version,
@@ -306,14 +309,15 @@
         }
     }
 
-    /// Whether two routes have one host and prefix or two teams one key, so that the order counts.
+    /// Whether two routes have the same host and prefix, or two teams the same key, so that the
+    /// result of a lookup depends on their order.
     pub fn is_ambiguous(&self) -> bool {
         let routes: usize = self.by_host.values().map(|host| host.by_prefix.len()).sum();
         let keys: usize = self.teams.iter().map(|team| team.keys.len()).sum();
         routes < self.routes.len() || self.by_key.len() < keys
     }
 
-    /// The route of a host and path: the longest prefix that begins the path.
+    /// The route of the host whose prefix is the longest one that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<RouteKey> {
         self.by_host.get(host)?.find(path)
     }
@@ -323,8 +327,9 @@
         self.by_key.get(key).copied()
     }
 
-    /// How much a route's answers suffer from prompts read beside them, in hundredths: the square
-    /// of the tightest pause among the pool's streams by the route's own.
+    /// How sensitive a route's streams are to prompts that the engine processes meanwhile, in
+    /// hundredths: the square of the pool's shortest pause divided by the route's own. 0 where the
+    /// route allows any pause.
     pub fn pause_sensitivity(&self, route: &Route, pool: &str) -> u32 {
         let Some(own) = route.pause() else {
             return 0;
@@ -333,46 +338,60 @@
         (ratio * ratio * f64::from(WHOLE)) as u32
     }
 
-    /// The tightest pause among a pool's streams; 0 where there are none.
+    /// The shortest allowed pause among a pool's streams; 0 where none is configured.
     pub fn shortest_pause(&self, pool: &str) -> Millis {
-        self.tightest.get(pool).copied().unwrap_or_default().pause
+        self.time_limits
+            .get(pool)
+            .copied()
+            .unwrap_or_default()
+            .pause
     }
 
-    /// The tightest target among a pool's routes; 0 where none is told.
+    /// The shortest target time among a pool's routes; 0 where none is configured.
     pub fn shortest_target(&self, pool: &str) -> Millis {
-        self.tightest.get(pool).copied().unwrap_or_default().target
+        self.time_limits
+            .get(pool)
+            .copied()
+            .unwrap_or_default()
+            .target
     }
 
-    /// Longest time that requests to a pool have which are less urgent than a band; 0 where there are none.
+    /// The longest timeout among a pool's routes that are less urgent than `band`; 0 where there
+    /// are none.
     pub fn longest_less_urgent_timeout(&self, pool: &str, band: usize) -> Millis {
-        let longest = self.tightest.get(pool).copied().unwrap_or_default().longest;
+        let longest = self
+            .time_limits
+            .get(pool)
+            .copied()
+            .unwrap_or_default()
+            .longest;
         let less_urgent = longest.into_iter().skip(band + 1);
         less_urgent.max().unwrap_or_default()
     }
 
-    /// A pool by name.
+    /// The pool with this name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == name)
     }
 }
 
-/// The tightest demands among each pool's requests.
-fn tightest_demands(routes: &[Rc<Route>]) -> HashMap<String, Tightest> {
-    let mut tightest: HashMap<String, Tightest> = HashMap::new();
+/// Time limits by name of the pool.
+fn time_limits_by_pool(routes: &[Rc<Route>]) -> HashMap<String, TimeLimits> {
+    let mut time_limits: HashMap<String, TimeLimits> = HashMap::new();
     for route in routes {
         for share in &route.shares {
-            let known = tightest.entry(share.pool.clone()).or_default();
-            known.pause = tighter(known.pause, route.pause().unwrap_or_default());
-            known.target = tighter(known.target, route.target);
+            let known = time_limits.entry(share.pool.clone()).or_default();
+            known.pause = shorter_nonzero(known.pause, route.pause().unwrap_or_default());
+            known.target = shorter_nonzero(known.target, route.target);
             let longest = &mut known.longest[band(route.priority)];
             *longest = route.timeout.max(*longest);
         }
     }
-    tightest
+    time_limits
 }
 
-/// The tighter of two times, of which 0 is none.
-fn tighter(known: Millis, other: Millis) -> Millis {
+/// The shorter of two times, where 0 means that there is none.
+fn shorter_nonzero(known: Millis, other: Millis) -> Millis {
     match (known, other) {
         (Millis(0), other) => other,
         (known, Millis(0)) => known,
