--- a/src/direct/channel.rs
+++ b/src/direct/channel.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to an endpoint, the store or a peer, on the codecs of actix-http.
 //!
-//! awc is not used here: it takes an HTTP/1.1 answer without a length for an empty one, and does
-//! not tell whether any byte of a request had left when a connection fails.
+//! awc is not used here: it treats an HTTP/1.1 response without a length as empty, and when a
+//! connection fails, it does not tell whether any byte of the request had been sent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,55 +19,55 @@
 
 use crate::clock::Millis;
 
-/// Time for a connection to come up. Within a region it takes milliseconds; a dropped opening
-/// packet is sent again only after a second, so waiting longer gains nothing.
-const CONNECT_TIME: Duration = Duration::from_millis(150);
-/// Time after which data without acknowledgement ends a connection: some round trips and two
-/// retransmissions, shorter than any caller's patience.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(3_000);
-/// Idle time before the system probes whether the other side is still there, and between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 3;
-/// Room kept for one read, in bytes: some events of a stream.
-const READ_ROOM: usize = 2 << 10;
-/// Room for the head of a request, in bytes.
-const HEAD_ROOM: usize = 1 << 10;
+/// Timeout for opening a connection. Within a region it takes milliseconds. A lost SYN packet is
+/// retransmitted only after a second, so waiting somewhat longer would gain nothing.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time after which unacknowledged data closes a connection: some round trips and two
+/// retransmissions, and shorter than the timeout of any caller.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Idle time before the first TCP keepalive probe, and interval between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection is closed.
+const MAX_UNANSWERED_PROBES: u32 = 3;
+/// Free space in the read buffer before each read, in bytes: some events of a stream.
+const READ_BUFFER_BYTES: usize = 2 << 10;
+/// Initial buffer space for the head of a request, in bytes.
+const HEAD_BUFFER_BYTES: usize = 1 << 10;
 
 /// How an exchange failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing listens at the address; nothing was sent.
+    /// The connection was refused because nothing listens at the address; nothing was sent.
     Refused,
-    /// No connection came up; nothing was sent.
+    /// The connection could not be opened for another reason, or not in time; nothing was sent.
     Connect,
-    /// The connection failed before any byte of the request had left.
+    /// The connection failed before any byte of the request was sent.
     NotSent,
-    /// The connection ended or the answer was no HTTP after something was sent.
+    /// Bytes of the request may have been sent, but no complete valid HTTP response came.
     Lost,
 }
 
-/// A connection between two exchanges.
+/// An open connection without a pending request.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
-    /// What has arrived and is not decoded yet.
-    inbuf: BytesMut,
+    /// Bytes that have arrived and are not decoded yet.
+    read_buffer: BytesMut,
     /// When it was last used.
     pub idle_since: Millis,
-    /// Time that the other side keeps it.
+    /// Idle time after which the other side closes it; `None` where it did not say.
     pub idle_time: Option<Millis>,
 }
 
-/// How the body of an answer ends.
+/// How the end of a response body is recognized.
 enum Body {
-    /// There is none, or it has been read.
+    /// There is no body, or it has been read completely.
     Done(ClientCodec),
-    /// By its length or its last chunk.
+    /// It ends after its `Content-Length`, or with the last chunk.
     Framed(ClientPayloadCodec),
-    /// With the connection.
+    /// It ends when the connection is closed.
     UntilClose,
-    /// It has ended with the connection.
+    /// The connection can't be read any more: it was closed at the end of the body.
     Closed,
 }
 
@@ -82,22 +82,22 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read yet.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its head.
+    /// Status and headers.
     pub head: ResponseHead,
     body: Body,
-    channel: Connection,
-    /// Whether the whole request has left; otherwise the rest of it is still due there.
+    connection: Connection,
+    /// Whether the whole request has been sent; otherwise the connection can't be reused.
     request_sent: bool,
 }
 
 impl Connection {
-    /// Connects; [`ExchangeError::Refused`] where nothing listens, [`ExchangeError::Connect`] when that fails otherwise or
-    /// takes too long.
+    /// Opens a connection. Fails with [`ExchangeError::Refused`] where nothing listens at the
+    /// address, and with [`ExchangeError::Connect`] on any other error or timeout.
     pub async fn connect(address: SocketAddr) -> Result<Self, ExchangeError> {
-        let connecting = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address));
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = match connecting.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(err)) if err.kind() == io::ErrorKind::ConnectionRefused => {
@@ -108,50 +108,55 @@
         set_options(&stream);
         Ok(Self {
             stream,
-            inbuf: BytesMut::new(),
+            read_buffer: BytesMut::new(),
             idle_since: Millis(0),
             idle_time: None,
         })
     }
 
-    /// Whether the connection is open and nothing has arrived on it: an answer that nobody asked
-    /// for belongs to no request.
+    /// Whether the connection is open and no bytes have arrived on it. Bytes that arrive between
+    /// two exchanges belong to no request, so the connection must not be reused then.
     pub fn is_idle(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit(); 1];
         let seen = SockRef::from(&self.stream).peek(&mut byte);
-        let nothing = matches!(seen, Err(err) if err.kind() == io::ErrorKind::WouldBlock);
-        nothing && self.inbuf.is_empty()
+        let has_nothing_to_read =
+            matches!(seen, Err(err) if err.kind() == io::ErrorKind::WouldBlock);
+        has_nothing_to_read && self.read_buffer.is_empty()
     }
 
-    /// Sends a request and waits for the head of the answer that `is_own`; others are skipped.
+    /// Sends a request and waits for the head of a response for which `matches_request` returns
+    /// true; other responses are discarded.
+    ///
+    /// Fails with [`ExchangeError::NotSent`] where the connection failed before any byte of the
+    /// request was sent, and with [`ExchangeError::Lost`] after that.
     pub async fn send(
         mut self,
         head: RequestHead,
         body: &Bytes,
-        is_own: impl Fn(&ResponseHead) -> bool,
+        matches_request: impl Fn(&ResponseHead) -> bool,
     ) -> Result<Reply, ExchangeError> {
         let mut codec = ClientCodec::new(service_config());
         let mut out = encode(&mut codec, head, body).map_err(|_| ExchangeError::NotSent)?;
         let mut sent = false;
         loop {
             let decoded = codec
-                .decode(&mut self.inbuf)
+                .decode(&mut self.read_buffer)
                 .map_err(|_| ExchangeError::Lost)?;
             match decoded {
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => {
                     let reply = Reply::new(head, codec, self, out.is_empty());
-                    if is_own(&reply.head) {
+                    if matches_request(&reply.head) {
                         return Ok(reply);
                     }
-                    (self, codec) = reply.skip().await?;
+                    (self, codec) = reply.discard().await?;
                 }
                 None => self.exchange(&mut out, &mut sent).await?,
             }
         }
     }
 
-    /// Moves bytes in either direction, whichever can go.
+    /// Writes or reads some bytes, whichever is possible first.
     async fn exchange(&mut self, out: &mut BytesMut, sent: &mut bool) -> Result<(), ExchangeError> {
         let failure = if *sent {
             ExchangeError::Lost
@@ -159,7 +164,7 @@
             ExchangeError::NotSent
         };
         let (mut reader, mut writer) = self.stream.split();
-        self.inbuf.reserve(READ_ROOM);
+        self.read_buffer.reserve(READ_BUFFER_BYTES);
         tokio::select! {
             biased;
             wrote = writer.write(out), if !out.is_empty() => match wrote {
@@ -167,10 +172,10 @@
                     *sent = true;
                     out.advance(n);
                 }
-                Err(_) if *sent => self.read_last().await?,
+                Err(_) if *sent => self.read_after_write_error().await?,
                 Err(_) => return Err(failure),
             },
-            read = reader.read_buf(&mut self.inbuf) => match read {
+            read = reader.read_buf(&mut self.read_buffer) => match read {
                 Ok(n) if n > 0 => {}
                 _ => return Err(failure),
             },
@@ -178,9 +183,10 @@
         Ok(())
     }
 
-    /// Reads on after the other side refused more of a request: its answer may have come before.
-    async fn read_last(&mut self) -> Result<(), ExchangeError> {
-        match self.stream.read_buf(&mut self.inbuf).await {
+    /// Reads once more after a failed write: the response may have arrived before the other side
+    /// stopped reading the request.
+    async fn read_after_write_error(&mut self) -> Result<(), ExchangeError> {
+        match self.stream.read_buf(&mut self.read_buffer).await {
             Ok(n) if n > 0 => Ok(()),
             _ => Err(ExchangeError::Lost),
         }
@@ -191,7 +197,7 @@
     fn new(
         head: ResponseHead,
         codec: ClientCodec,
-        channel: Connection,
+        connection: Connection,
         request_sent: bool,
     ) -> Self {
         let framed = codec.message_type() != MessageType::None;
@@ -205,23 +211,24 @@
         Self {
             head,
             body,
-            channel,
+            connection,
             request_sent,
         }
     }
 
-    /// The next piece of the body; `None` after its end. An early end is [`ExchangeError::Lost`].
+    /// The next chunk of the body; `None` after its end. Fails with [`ExchangeError::Lost`] where
+    /// the body ends early or is malformed.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.body {
                 Body::Done(_) | Body::Closed => return Ok(None),
                 Body::UntilClose => return self.unframed_chunk().await,
                 Body::Framed(codec) => {
-                    let decoded = codec.decode(&mut self.channel.inbuf);
+                    let decoded = codec.decode(&mut self.connection.read_buffer);
                     match decoded.map_err(|_| ExchangeError::Lost)? {
                         Some(Some(chunk)) => return Ok(Some(chunk)),
                         Some(None) => {
-                            self.end_frame();
+                            self.finish_framed_body();
                             return Ok(None);
                         }
                         None => self.read_more().await?,
@@ -231,11 +238,12 @@
         }
     }
 
-    /// The whole body; [`ExchangeError::Lost`] when it is longer than `most` bytes or ends early.
-    pub async fn read_body(&mut self, most: usize) -> Result<Bytes, ExchangeError> {
+    /// Reads the whole body. Fails with [`ExchangeError::Lost`] where it is longer than `max_bytes`
+    /// or ends early.
+    pub async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, ExchangeError> {
         let mut body = BytesMut::new();
         while let Some(chunk) = self.chunk().await? {
-            if body.len() + chunk.len() > most {
+            if body.len() + chunk.len() > max_bytes {
                 return Err(ExchangeError::Lost);
             }
             body.extend_from_slice(&chunk);
@@ -243,59 +251,71 @@
         Ok(body.freeze())
     }
 
-    /// The connection, for another request; `None` when it can't be used again.
+    /// The connection, to be reused for another request; `None` where it can't be reused.
     pub fn into_connection(self) -> Option<Connection> {
         match self.body {
             Body::Done(codec)
-                if codec.keep_alive() && self.request_sent && self.channel.inbuf.is_empty() =>
+                if codec.keep_alive()
+                    && self.request_sent
+                    && self.connection.read_buffer.is_empty() =>
             {
-                Some(self.channel)
+                Some(self.connection)
             }
             _ => None,
         }
     }
 
-    /// The framed body has ended; the next answer has a head again.
-    fn end_frame(&mut self) {
+    /// Notes that the framed body has ended, so that the codec expects the next response's head.
+    fn finish_framed_body(&mut self) {
         let body = std::mem::replace(&mut self.body, Body::Closed);
         if let Body::Framed(codec) = body {
             self.body = Body::Done(codec.into_message_codec());
         }
     }
 
-    /// A piece of a body that ends with the connection.
+    /// The next chunk of a body that ends when the connection is closed; `None` after its end.
     async fn unframed_chunk(&mut self) -> Result<Option<Bytes>, ExchangeError> {
-        if self.channel.inbuf.is_empty() {
-            self.channel.inbuf.reserve(READ_ROOM);
-            let read = self.channel.stream.read_buf(&mut self.channel.inbuf).await;
+        if self.connection.read_buffer.is_empty() {
+            self.connection.read_buffer.reserve(READ_BUFFER_BYTES);
+            let read = self
+                .connection
+                .stream
+                .read_buf(&mut self.connection.read_buffer)
+                .await;
             if read.map_err(|_| ExchangeError::Lost)? == 0 {
                 self.body = Body::Closed;
                 return Ok(None);
             }
         }
-        Ok(Some(self.channel.inbuf.split().freeze()))
+        Ok(Some(self.connection.read_buffer.split().freeze()))
     }
 
-    /// Reads more of a body that has not ended.
+    /// Reads more bytes of a framed body. Fails with [`ExchangeError::Lost`] where the connection
+    /// was closed.
     async fn read_more(&mut self) -> Result<(), ExchangeError> {
-        self.channel.inbuf.reserve(READ_ROOM);
-        match self.channel.stream.read_buf(&mut self.channel.inbuf).await {
+        self.connection.read_buffer.reserve(READ_BUFFER_BYTES);
+        match self
+            .connection
+            .stream
+            .read_buf(&mut self.connection.read_buffer)
+            .await
+        {
             Ok(n) if n > 0 => Ok(()),
             _ => Err(ExchangeError::Lost),
         }
     }
 
-    /// Reads over the body of an answer that belongs to another request.
-    async fn skip(mut self) -> Result<(Connection, ClientCodec), ExchangeError> {
+    /// Reads and drops the body of a response to another request, and returns the connection.
+    async fn discard(mut self) -> Result<(Connection, ClientCodec), ExchangeError> {
         while self.chunk().await?.is_some() {}
         match self.body {
-            Body::Done(codec) => Ok((self.channel, codec)),
+            Body::Done(codec) => Ok((self.connection, codec)),
             _ => Err(ExchangeError::Lost),
         }
     }
 }
 
-/// Whether an answer without a length ends with its connection (RFC 9112, 6.3).
+/// Whether a response without a length ends when its connection is closed (RFC 9112, 6.3).
 fn ends_with_connection(head: &ResponseHead) -> bool {
     let bodiless = matches!(
         head.status,
@@ -306,15 +326,15 @@
     !(bodiless || has_length || is_chunked)
 }
 
-/// The bytes of a request.
+/// Encodes a request.
 fn encode(codec: &mut ClientCodec, head: RequestHead, body: &Bytes) -> io::Result<BytesMut> {
-    // A method that usually has a body tells the length of an empty one, too (RFC 9110, 8.6).
+    // Methods that usually have a body send the length of an empty one too (RFC 9110, 8.6).
     let may_have_body = matches!(head.method, Method::POST | Method::PUT | Method::PATCH);
     let size = match body.len() {
         0 if !may_have_body => BodySize::None,
         length => BodySize::Sized(length as u64),
     };
-    let mut out = BytesMut::with_capacity(HEAD_ROOM + body.len());
+    let mut out = BytesMut::with_capacity(HEAD_BUFFER_BYTES + body.len());
     codec.encode(Message::Item((RequestHeadType::from(head), size)), &mut out)?;
     if !body.is_empty() {
         codec.encode(Message::Chunk(Some(body.clone())), &mut out)?;
@@ -322,29 +342,30 @@
     Ok(out)
 }
 
-/// Makes the system send at once and notice a dead peer.
+/// Makes the operating system send without delay and detect a dead peer.
 fn set_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(MAX_UNANSWERED_PROBES);
     let set = [
         stream.set_nodelay(true),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME)),
+        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
         socket.set_tcp_keepalive(&keepalive),
     ];
     for err in set.into_iter().filter_map(Result::err) {
-        tracing::warn!(%err, "socket option not set; a dead peer will be noticed later");
+        tracing::warn!(%err, "socket option not set; a dead peer will be detected later");
     }
 }
 
 thread_local! {
-    /// One for all codecs of the process: each has a task that keeps the date.
+    /// Shared by all codecs of a thread, because each configuration has a task that updates its
+    /// date.
     static SERVICE_CONFIG: ServiceConfig = ServiceConfig::default();
 }
 
-/// Configuration of the HTTP codecs: connections are kept.
+/// Configuration of the HTTP codecs, with keep-alive.
 pub fn service_config() -> ServiceConfig {
     SERVICE_CONFIG.with(Clone::clone)
 }
