--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -1,5 +1,5 @@
-//! The edge towards the outside: what callers, endpoints and the configuration store put on the
-//! wire, decoded once into the types below. An implementation only translates.
+//! The interface between the entry and the wire formats of callers, endpoints and the configuration
+//! store. A [`Dialect`] only translates between these formats and the types below.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -15,14 +15,15 @@
 use crate::direct::load::Report;
 use crate::direct::prefix::Part;
 
-/// A caller's request, as far as decisions need it.
+/// The properties of a caller's request that decisions depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedRequest {
-    /// The caller's id of this request; passed on byte for byte.
+    /// The caller's id of this request; forwarded unchanged.
     pub id: HeaderValue,
-    /// How long the caller waits, counted from when it sent the request.
+    /// How long the caller waits for the response, counted from when it sent the request; `None`
+    /// where it does not say.
     pub caller_timeout: Option<Millis>,
-    /// The key that it presents.
+    /// The API key that it sent.
     pub key: Option<String>,
     /// Host that it names, in lower case, without a port.
     pub host: String,
@@ -30,66 +31,69 @@
     pub path: String,
     /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Tokens that the answer may have, by the caller's own guess where it gives one.
+    /// Expected length of the response, in tokens; the caller's own estimate where it gives one.
     pub output_tokens: u64,
-    /// Number of the last event that the caller has, when it takes up a stream.
+    /// Number of the last event that the caller has received; set when it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What an order to an endpoint adds to a caller's request.
+/// What the request to an endpoint adds to the caller's request.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointRequest<'a> {
-    /// Identity of the endpoint that is meant.
+    /// Identity of the endpoint that the request is meant for; another one refuses it.
     pub endpoint: &'a str,
-    /// Time left for the work.
+    /// Time left until the request's deadline.
     pub time_left: Millis,
-    /// Team for which it is done.
+    /// Name of the team that sent it.
     pub team: Option<&'a str>,
-    /// Urgency, 0 to 9.
+    /// Urgency, 0 to 9; 0 is the highest.
     pub priority: Option<u8>,
-    /// Event after which a stream goes on.
+    /// Number of the event after which the stream continues.
     pub last_event: Option<u64>,
-    /// Another endpoint from which kept parts of the prompt are taken before it is read.
+    /// Another endpoint from which cached parts of the prompt are fetched before the prefill of the
+    /// rest.
     pub fetch_from: Option<SocketAddr>,
-    /// Another endpoint that is to keep a copy of the run's memory.
+    /// Another endpoint that keeps a copy of the run's memory.
     pub copy_to: Option<SocketAddr>,
-    /// The address under which the endpoint has kept a copy of this run; the run goes on from it.
+    /// The address under which the endpoint has a copy of this run, from which it continues.
     pub copy_of: Option<SocketAddr>,
 }
 
-/// What the head of an endpoint's answer says.
+/// What the head of an endpoint's response says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// Whether it answers the request at hand; others are late answers to earlier ones.
+    /// Whether it belongs to the current request; otherwise it is a late response to an earlier
+    /// one.
     pub is_own: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
-    /// Whether another endpoint than the one meant has this address.
+    /// Whether a different endpoint than the intended one has this address.
     pub misdirected: bool,
-    /// Whether it carries the endpoint's seal, without which a success does not count.
+    /// Whether it carries the header by which an endpoint marks its own responses; without it, a
+    /// success does not count.
     pub sealed: bool,
-    /// Load that it tells.
+    /// Load that the endpoint reports.
     pub report: Option<Report>,
-    /// Time that the endpoint keeps an idle connection.
+    /// Idle time after which the endpoint closes a connection.
     pub idle_time: Option<Millis>,
-    /// What the endpoint announces of itself.
+    /// What the endpoint announces about accepting requests.
     pub announcement: Announcement,
 }
 
-/// Why a caller gets an answer of our own.
+/// Why a caller gets an error response that the entry itself makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// Nothing ran and nothing will; come back after the given time.
+    /// The request did not run and will not; the caller may retry after the given time.
     NotRun(Millis),
-    /// It may have run, and its end is not known.
+    /// The request may have run, but its outcome is unknown.
     Unknown,
-    /// It was sent and the time was over before an answer came.
+    /// The request was sent, and its deadline passed before a response came.
     TimeOver,
-    /// No such route.
+    /// No route matches.
     NoRoute,
-    /// No key, or one that nobody holds.
+    /// The key is missing, or no team has it.
     NoKey,
-    /// The request can't be read.
+    /// The request can't be parsed.
     Malformed,
     /// The head is longer than allowed.
     HeadTooLong,
@@ -99,72 +103,74 @@
     TooSlow,
 }
 
-/// One page of the list of endpoints.
+/// One page of the store's list of endpoints and cordons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// What it lists.
+    /// The endpoints and cordons on this page.
     pub listing: Listing,
-    /// Entries that can't be read; they name nothing.
+    /// Entries that can't be parsed; they are ignored.
     pub unreadable: Vec<Unreadable>,
-    /// Where the next page starts, when there is one.
+    /// Key after which the next page starts; `None` for the last page.
     pub next: Option<String>,
     /// The store's revision when it answered.
     pub current: Revision,
 }
 
-/// An entry of the store that can't be read, and why: its writer may be another.
+/// An entry of the store that can't be parsed; another program may have written it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unreadable {
     /// Its key.
     pub key: String,
-    /// What is wrong with it.
+    /// The error.
     pub why: String,
 }
 
-/// The store's revision, with the cordons that stood then.
+/// The store's revision, with the cordons in force at that revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
     /// The revision.
     pub current: Revision,
-    /// The cordons; `None` where they are more than fit into one answer.
+    /// The cordons; `None` where there are too many for one response.
     pub cordons: Option<Vec<Cordon>>,
 }
 
-/// A document that was written or removed.
+/// A change of a document in the store.
 #[derive(Debug, Clone)]
 pub enum StoreUpdate {
-    /// A version of the configuration.
+    /// A new version of the configuration.
     Catalog(Box<Catalog>),
-    /// A change of the list of endpoints, or of the cordons.
+    /// A change of the list of endpoints or of the cordons.
     Change(Change),
-    /// An entry that can't be read, and what that changes: an endpoint of its key is no longer named.
+    /// An entry that can't be parsed. Where its key is that of an endpoint, that endpoint is no
+    /// longer listed, which is the change.
     Unreadable(Unreadable, Option<Change>),
 }
 
-/// What a watch is for.
+/// Which documents a watch covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchScope {
     /// The configuration, the list of endpoints and the cordons.
     All,
-    /// The list of endpoints alone.
+    /// Only the list of endpoints.
     Endpoints,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Debug, Clone)]
 pub enum WatchResult {
-    /// Changes up to a revision; none when the wait was over.
+    /// All changes up to this revision; empty where nothing changed in the time to wait.
     Changes(Vec<StoreUpdate>, Revision),
-    /// The history since the asked revision is gone; everything must be read anew.
+    /// The store no longer has the history since the requested revision, so everything must be read
+    /// again.
     HistoryGone,
 }
 
-/// An answer of the store that can't be used.
+/// Why a response of the store can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InvalidResponse {
-    /// Another status than the ones expected.
+    /// Unexpected status code.
     Status(u16),
-    /// A body that does not decode; where and why.
+    /// The body can't be decoded; the text says where and why.
     Body(String),
 }
 
@@ -181,41 +187,45 @@
 
 /// One set of wire formats.
 pub trait Dialect: Debug {
-    /// Path under which the balancer asks whether this entry takes connections.
+    /// Path at which the load balancer checks whether this entry accepts connections.
     fn readiness_path(&self) -> &str;
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request. The error is the response that the caller gets.
     fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, Refusal>;
-    /// Writes the head of the request for an endpoint; the body stays as it is.
+    /// Makes the head of the request to an endpoint; the body is forwarded unchanged.
     fn endpoint_request(
         &self,
         head: &RequestHead,
         endpoint_request: &EndpointRequest<'_>,
     ) -> RequestHead;
-    /// Reads the head of an endpoint's answer to `id`.
+    /// Parses the head of an endpoint's response to the request with this id.
     fn response_info(&self, head: &ResponseHead, id: &HeaderValue) -> ResponseInfo;
-    /// Writes the head for the caller from that of the endpoint.
+    /// Makes the head of the response to the caller from that of the endpoint's response.
     fn answer(&self, head: &ResponseHead) -> ResponseHead;
-    /// Writes the head of an answer of our own.
+    /// Makes the head of an error response of the entry itself; `id` is `None` where the request
+    /// could not be parsed.
     fn refusal(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
 
-    /// Asks the store for the configuration in force.
+    /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
-    /// Reads that answer; `None` while there is no configuration.
+    /// Parses the response to [`Dialect::catalog_query`]; `None` where there is no configuration
+    /// yet.
     fn catalog(
         &self,
         status: StatusCode,
         body: &[u8],
     ) -> Result<Option<Box<Catalog>>, InvalidResponse>;
-    /// Asks for a page of the list of endpoints and of the cordons.
+    /// Makes the request for a page of the endpoints and cordons; `from` is [`Page::next`] of the
+    /// previous page, or `None` for the first one.
     fn page_query(&self, from: Option<&str>) -> RequestHead;
-    /// Reads a page.
+    /// Parses the response to [`Dialect::page_query`].
     fn page(&self, status: StatusCode, body: &[u8]) -> Result<Page, InvalidResponse>;
-    /// Asks for changes after a revision, and to wait for one.
+    /// Makes the request for all changes after a revision; the store waits up to `wait` for the
+    /// first one.
     fn watch_query(&self, scope: WatchScope, since: Revision, wait: Millis) -> RequestHead;
-    /// Reads the changes.
+    /// Parses the response to [`Dialect::watch_query`].
     fn watched(&self, status: StatusCode, body: &[u8]) -> Result<WatchResult, InvalidResponse>;
-    /// Asks for the store's revision and the cordons, with an answer that is never stale.
+    /// Makes the request for the store's current revision and cordons. Its response is never stale.
     fn snapshot_query(&self) -> RequestHead;
-    /// Reads them.
+    /// Parses the response to [`Dialect::snapshot_query`].
     fn snapshot(&self, status: StatusCode, body: &[u8]) -> Result<Snapshot, InvalidResponse>;
 }
