--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepting them, and serving the requests of each one after the other.
+//! Accepts callers' connections, and serves the requests of each connection one after the other.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use crate::direct::intake::{IncomingRequest, RequestReadError, RequestReader};
 use crate::direct::progress::Progress;
 
-/// Pause after an error of the listener, such as too many open files.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a connection could not be accepted, for example because of too many open files.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts connections until the task is ended.
+/// Accepts connections until the task is aborted.
 pub async fn accept(entry: Rc<Entry>, listener: Rc<TcpListener>) -> anyhow::Result<()> {
     loop {
         match listener.accept().await {
@@ -27,15 +27,16 @@
             }
             Err(err) => {
                 tracing::warn!(%err, "connection not accepted");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve(entry: Rc<Entry>, stream: TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
-        tracing::debug!(%err, "small packets may be delayed");
+        tracing::debug!(%err, "TCP_NODELAY not set; small packets may be delayed");
     }
     let (reader, writer) = stream.into_split();
     let mut intake = RequestReader::new(reader);
@@ -51,7 +52,7 @@
                     .await
                     .is_ok()
                 {
-                    intake.let_caller_read(&mut answerer).await;
+                    intake.linger_before_close(&mut answerer).await;
                 }
                 false
             }
@@ -63,7 +64,7 @@
     }
 }
 
-/// Serves one request; false when the connection is to be closed.
+/// Serves one request; returns false where the connection must be closed after it.
 async fn serve_one(
     entry: &Rc<Entry>,
     incoming: &IncomingRequest,
@@ -74,7 +75,7 @@
     let progress = RefCell::new(Progress::default());
     tokio::select! {
         kept = handle(entry, incoming, answerer, &progress) => kept,
-        () = intake.caller_left() => {
+        () = intake.caller_disconnected() => {
             progress.borrow().log_ended(entry, incoming, RequestOutcome::CallerGone, 0);
             false
         }
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -1,4 +1,4 @@
-//! Reading callers' requests whole, and noticing that a caller left.
+//! Reads complete requests from callers, and detects that a caller has disconnected.
 
 use std::time::Duration;
 
@@ -15,19 +15,21 @@
 use crate::direct::dialect::Refusal;
 use crate::direct::entry::{Entry, Life};
 
-/// Room for one read, in bytes.
-const READ_ROOM: usize = 4 << 10;
-/// Bytes that a caller may send ahead while its request is served; beyond that it has to wait.
-const MOST_AHEAD: usize = 64 << 10;
-/// Time for a caller to read an answer after which its connection is closed with bytes unread.
-const LAST_READ: Duration = Duration::from_millis(500);
+/// Free space in the read buffer before each read, in bytes.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// Maximum bytes of further requests that are read while a request is being served; the caller can
+/// send the rest only after that.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
+/// Time for which a connection stays open after an error response, so that the caller can read the
+/// response although part of its request was not read.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request that has been read whole.
+/// A request that has been read completely.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// Its head.
+    /// Method, target and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// The body; empty where there is none.
     pub body: Bytes,
     /// When its first byte was read.
     pub received_at: Millis,
@@ -36,50 +38,55 @@
 /// Why no request was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestReadError {
-    /// The caller closed, or the connection was idle too long.
+    /// The caller closed the connection, it was idle for too long, or this process is stopping.
     Closed,
-    /// What came is not acceptable.
+    /// The request is malformed, too long or too slow; the caller gets this error response.
     Refused(Refusal),
 }
 
-/// The reading side of a connection.
+/// The reading half of a caller's connection.
 #[derive(Debug)]
 pub struct RequestReader {
     reader: OwnedReadHalf,
-    buf: BytesMut,
+    /// Bytes that were read and are not decoded yet.
+    read_buffer: BytesMut,
 }
 
 impl RequestReader {
-    /// The reading side of a fresh connection.
+    /// Creates the reader of a new connection.
     pub fn new(reader: OwnedReadHalf) -> Self {
         Self {
             reader,
-            buf: BytesMut::new(),
+            read_buffer: BytesMut::new(),
         }
     }
 
-    /// Reads the next request whole.
+    /// Reads the next request completely. Fails with [`RequestReadError::Closed`] where none comes,
+    /// and with [`RequestReadError::Refused`] where it violates the limits or the protocol.
     pub async fn next(
         &mut self,
         entry: &Entry,
         answerer: &mut Answerer,
     ) -> Result<IncomingRequest, RequestReadError> {
         let limits = entry.catalog().map(|c| c.limits).unwrap_or_default();
-        if self.buf.is_empty() {
-            self.first_bytes(entry, limits).await?;
+        if self.read_buffer.is_empty() {
+            self.wait_for_request(entry, limits).await?;
         }
         let received_at = entry.clock.now();
-        let reading = timeout(limits.head_time.duration(), self.head(answerer, limits));
+        let reading = timeout(
+            limits.head_time.duration(),
+            self.read_head(answerer, limits),
+        );
         let head = reading
             .await
             .map_err(|_| RequestReadError::Refused(Refusal::TooSlow))??;
-        if head.expect() && self.buf.is_empty() {
+        if head.expect() && self.read_buffer.is_empty() {
             answerer
                 .send_continue()
                 .await
                 .map_err(|_| RequestReadError::Closed)?;
         }
-        let body = self.body(answerer, limits).await?;
+        let body = self.read_body(answerer, limits).await?;
         Ok(IncomingRequest {
             head,
             body,
@@ -87,8 +94,9 @@
         })
     }
 
-    /// Waits for a request to begin; ends when the connection is idle too long or a stop needs it.
-    async fn first_bytes(
+    /// Waits for the first bytes of a request. Fails with [`RequestReadError::Closed`] where the
+    /// connection is idle for too long or the process takes no new requests any more.
+    async fn wait_for_request(
         &mut self,
         entry: &Entry,
         limits: CallerLimits,
@@ -104,17 +112,17 @@
         }
     }
 
-    /// Reads a head.
-    async fn head(
+    /// Reads the head of a request.
+    async fn read_head(
         &mut self,
         answerer: &mut Answerer,
         limits: CallerLimits,
     ) -> Result<RequestHead, RequestReadError> {
         let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
         loop {
-            let before = self.buf.len();
-            if let Some(message) = answerer.decode(&mut self.buf).map_err(malformed)? {
-                let too_long = before - self.buf.len() > limits.head_bytes;
+            let before = self.read_buffer.len();
+            if let Some(message) = answerer.decode(&mut self.read_buffer).map_err(malformed)? {
+                let too_long = before - self.read_buffer.len() > limits.head_bytes;
                 return match message {
                     _ if too_long => Err(RequestReadError::Refused(Refusal::HeadTooLong)),
                     Message::Item(req) => Ok(req.head().clone()),
@@ -128,8 +136,8 @@
         }
     }
 
-    /// Reads the body of the request whose head was read last.
-    async fn body(
+    /// Reads the body of the request whose head was read last; empty where it has none.
+    async fn read_body(
         &mut self,
         answerer: &mut Answerer,
         limits: CallerLimits,
@@ -140,7 +148,7 @@
         let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
         let mut body = BytesMut::new();
         loop {
-            match answerer.decode(&mut self.buf).map_err(malformed)? {
+            match answerer.decode(&mut self.read_buffer).map_err(malformed)? {
                 Some(Message::Chunk(Some(chunk))) => body.extend_from_slice(&chunk),
                 Some(Message::Chunk(None)) => return Ok(body.freeze()),
                 Some(Message::Item(_)) => {
@@ -159,9 +167,10 @@
         }
     }
 
-    /// Resolves when the caller has closed its side; what it sends ahead is kept.
-    pub async fn caller_left(&mut self) {
-        while self.buf.len() < MOST_AHEAD {
+    /// Resolves when the caller has closed its side of the connection. Bytes of further requests
+    /// are buffered; once the buffer is full, this never resolves.
+    pub async fn caller_disconnected(&mut self) {
+        while self.read_buffer.len() < MAX_PIPELINED_BYTES {
             if self.read().await.is_err() {
                 return;
             }
@@ -169,25 +178,27 @@
         std::future::pending::<()>().await;
     }
 
-    /// Lets a caller read its answer before the connection goes: closing with bytes unread would
-    /// reset it and may take the answer along.
-    pub async fn let_caller_read(&mut self, answerer: &mut Answerer) {
+    /// Stops writing and discards what the caller still sends, until it closes the connection or
+    /// [`LINGER_TIMEOUT`] has passed. Closing a socket with unread bytes resets the connection, and
+    /// the caller may lose the response.
+    pub async fn linger_before_close(&mut self, answerer: &mut Answerer) {
         if answerer.shutdown().await.is_err() {
             return;
         }
         let reading = async {
             while self.read().await.is_ok() {
-                self.buf.clear();
+                self.read_buffer.clear();
             }
         };
-        // Whether the caller closed or the time is over, the connection goes.
-        let _ = timeout(LAST_READ, reading).await;
+        // The connection is closed in either case: the caller has closed it, or time is over.
+        let _ = timeout(LINGER_TIMEOUT, reading).await;
     }
 
-    /// Reads some bytes.
+    /// Reads some bytes into the buffer. Fails with [`RequestReadError::Closed`] at the end of the
+    /// stream or on an error.
     async fn read(&mut self) -> Result<(), RequestReadError> {
-        self.buf.reserve(READ_ROOM);
-        match self.reader.read_buf(&mut self.buf).await {
+        self.read_buffer.reserve(READ_BUFFER_BYTES);
+        match self.reader.read_buf(&mut self.read_buffer).await {
             Ok(n) if n > 0 => Ok(()),
             _ => Err(RequestReadError::Closed),
         }
