--- a/src/direct/relay.rs
+++ b/src/direct/relay.rs
@@ -1,5 +1,5 @@
-//! Relaying an endpoint's answer: whole bodies are checked before a byte of them leaves, events
-//! leave as they arrive, each whole.
+//! Relays an endpoint's response to the caller: a body is sent only after it has arrived
+//! completely; the events of a stream are sent as they arrive, each one complete.
 
 use std::cell::Cell;
 
@@ -9,43 +9,45 @@
 use crate::direct::channel::{ExchangeError, Reply};
 use crate::sse::Splitter;
 
-/// Longest body that is relayed whole, in bytes.
-const MOST_WHOLE: usize = 8 << 20;
+/// Maximum length of a body that is not a stream, in bytes.
+const MAX_WHOLE_BODY_BYTES: usize = 8 << 20;
 
-/// How far a stream has got towards the caller, over all endpoints that made it.
+/// How much of a stream has been sent to the caller, over all endpoints that produced it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamPosition {
-    /// Whether the head has left.
+    /// Whether the response's head has been sent.
     pub begun: bool,
-    /// Number of the last event that left.
+    /// Number of the last event that was sent.
     pub last_event: Option<u64>,
 }
 
-/// How relaying ended early.
+/// Why a stream could not be relayed to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayError {
-    /// The endpoint's answer broke off or is none.
+    /// The endpoint's response broke off or is invalid.
     Endpoint,
-    /// The caller can't be written to.
+    /// Writing to the caller failed.
     Caller,
 }
 
-/// Reads a whole body; [`ExchangeError::Lost`] when it is too long or breaks off.
+/// Reads the whole body of a response that is not a stream. Fails with [`ExchangeError::Lost`]
+/// where it is longer than [`MAX_WHOLE_BODY_BYTES`] or breaks off.
 pub async fn read_body(reply: &mut Reply) -> Result<Bytes, ExchangeError> {
-    reply.read_body(MOST_WHOLE).await
+    reply.read_body(MAX_WHOLE_BODY_BYTES).await
 }
 
-/// Cuts an answer into whole events and drops those that the caller has already.
+/// Splits a stream into complete events, and drops those that the caller already has.
 #[derive(Debug, Default)]
 pub struct EventReader {
     splitter: Splitter,
-    /// Number of the last event that the caller had before.
+    /// Number of the last event that the caller had before; events up to it are dropped.
     after: Option<u64>,
+    /// Number of the last event that was returned.
     last: Option<u64>,
 }
 
 impl EventReader {
-    /// A reader that drops events up to `after`.
+    /// Creates a reader that drops events with numbers up to `after`.
     pub fn new(after: Option<u64>) -> Self {
         Self {
             after,
@@ -53,9 +55,10 @@
         }
     }
 
-    /// Takes what has arrived; returns the whole events that are new to the caller.
-    pub fn push(&mut self, piece: &[u8]) -> Bytes {
-        self.splitter.push(piece);
+    /// Adds bytes that have arrived; returns the events that are complete now and new to the
+    /// caller.
+    pub fn push(&mut self, bytes: &[u8]) -> Bytes {
+        self.splitter.push(bytes);
         let mut out = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
             let number = event_number(&event);
@@ -69,7 +72,7 @@
         out.freeze()
     }
 
-    /// Whether an event has grown too long to be one.
+    /// Whether the unfinished event is longer than any valid one.
     pub fn is_oversize(&self) -> bool {
         self.splitter.is_oversize()
     }
@@ -79,30 +82,31 @@
         self.last
     }
 
-    /// What is left after the last whole event of a complete answer.
-    pub fn rest(&mut self) -> Bytes {
+    /// The bytes after the last complete event, once the response has ended.
+    pub fn remainder(&mut self) -> Bytes {
         self.splitter.take_rest()
     }
 }
 
-/// Where relaying begins, and what the caller is told of its connection.
+/// Where a stream continues, and whether the caller's connection ends with it.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayContext<'a> {
-    /// How far the stream has got; kept up to date.
+    /// How much of the stream has been sent; updated after each write.
     pub position: &'a Cell<StreamPosition>,
-    /// Whether the connection ends with the answer.
+    /// Whether to close the caller's connection after the response.
     pub close: bool,
 }
 
-/// Relays events until the answer ends; `next` reads a piece of it, `begin` makes the head when
-/// the first one has arrived, and `left` is told of each piece that has left.
+/// Relays events until the response ends. `next` reads a chunk of the endpoint's response, `begin`
+/// makes the head when the first event has arrived, and `sent` is called after each write to the
+/// caller.
 pub async fn events(
     reply: &mut Reply,
     answerer: &mut Answerer,
     context: RelayContext<'_>,
     next: impl AsyncFn(&mut Reply) -> Result<Option<Bytes>, ExchangeError>,
     mut begin: impl FnMut() -> actix_http::ResponseHead,
-    mut left: impl FnMut(),
+    mut sent: impl FnMut(),
 ) -> Result<(), RelayError> {
     let RelayContext { position, close } = context;
     let mut at = position.get();
@@ -110,21 +114,21 @@
     loop {
         let chunk = next(reply).await.map_err(|_| RelayError::Endpoint)?;
         let is_last = chunk.is_none();
-        let piece = match chunk {
+        let bytes = match chunk {
             Some(chunk) => reader.push(&chunk),
-            None => reader.rest(),
+            None => reader.remainder(),
         };
         if reader.is_oversize() {
             return Err(RelayError::Endpoint);
         }
-        if !piece.is_empty() || (is_last && !at.begun) {
+        if !bytes.is_empty() || (is_last && !at.begun) {
             let written = if at.begun {
-                answerer.send_chunk(piece).await
+                answerer.send_chunk(bytes).await
             } else {
-                answerer.start_stream(begin(), piece, close).await
+                answerer.start_stream(begin(), bytes, close).await
             };
             written.map_err(|_| RelayError::Caller)?;
-            left();
+            sent();
             at.begun = true;
             at.last_event = reader.last().or(at.last_event);
             position.set(at);
@@ -138,7 +142,7 @@
     }
 }
 
-/// The number in an event's `id` field, if it is one (WHATWG HTML, "Server-sent events").
+/// The value of an event's `id` field, where that is a number (WHATWG HTML, "Server-sent events").
 fn event_number(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -10,7 +10,7 @@
     assert_eq!(reader.last(), Some(1));
     assert_eq!(&reader.push(b"ta: b\n\n")[..], b"id: 2\ndata: b\n\n");
     assert_eq!(reader.last(), Some(2));
-    assert!(reader.rest().is_empty());
+    assert!(reader.remainder().is_empty());
 }
 
 #[test]
@@ -24,7 +24,7 @@
 fn unfinished_last_event() {
     let mut reader = EventReader::new(None);
     assert_eq!(&reader.push(b"data: x")[..], b"");
-    assert_eq!(&reader.rest()[..], b"data: x");
+    assert_eq!(&reader.remainder()[..], b"data: x");
 }
 
 /// However the bytes are cut, the events that come out are the same.
