--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry that orders endpoints itself: JSON, validated whole before anything starts.
+//! Settings of a direct entry: JSON, validated completely before anything starts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use crate::finding::Findings;
 use crate::settings::Checked;
 
-/// Part of [`Bounds::key_removal_ms`] that is left unused: rounding of clocks, and the way of a
-/// request from its caller to this process.
-const KEY_REMOVAL_SLACK: Millis = Millis(250);
+/// Safety margin that is subtracted from [`Bounds::key_removal_ms`], for the rounding of clocks and
+/// the time that a request takes from its caller to this process.
+const KEY_REMOVAL_MARGIN: Millis = Millis(250);
 
-/// Most that [`Bounds::longest_rest_ms`] may be: a day.
-const MOST_REST_MS: u64 = 86_400_000;
+/// Maximum of [`Bounds::longest_rest_ms`]: a day.
+const MAX_LONGEST_REST_MS: u64 = 86_400_000;
 
 /// Settings of one direct entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -28,54 +28,56 @@
     pub zone: String,
     /// Address for callers.
     pub callers: SocketAddr,
-    /// Address at which the balancer asks for readiness.
+    /// Address for the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Address of the administration API and of metrics.
+    /// Address of the administration API and the metrics.
     pub admin: SocketAddr,
-    /// Address for datagrams between entries.
+    /// UDP address for messages between entries.
     pub link: SocketAddr,
-    /// Addresses of some entries; only the IP numbers count, ports are alike everywhere.
+    /// Addresses of some other entries. Only the IP addresses are used; all entries use the same
+    /// ports.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// Address of the configuration store.
     pub store: SocketAddr,
-    /// Bandwidth of this instance's link, in Mbit/s; 0 where it is not known. The store is watched
-    /// where it is largest.
+    /// Bandwidth of this instance's network link, in Mbit/s; 0 where it is not known. Entries
+    /// with a larger bandwidth are preferred for watching the store.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Region of each availability zone, by its name.
+    /// Region of each availability zone, by the zone's name.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Bounds that the operators promise to keep.
+    /// Bounds that operators set for this installation.
     pub bounds: Bounds,
 }
 
-/// Bounds of one installation, from its operators.
+/// Bounds that operators set for one installation.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Time after which a removed key must not run, in ms; `None` where that is not strict.
+    /// Time after its removal from the configuration from which a key must not be accepted any
+    /// more, in ms; `None` where there is no such bound.
     pub key_removal_ms: Option<u64>,
     /// Time between SIGTERM and SIGKILL, in ms.
     pub stop_grace_ms: u64,
     /// Length of the retry window, in ms.
     pub retry_window_ms: u64,
-    /// Repeats per request of a pool, over all entries.
+    /// Allowed retries per request in a window, for each pool and over all entries.
     pub retry_ratio: f64,
-    /// Repeats of a pool in a window besides, over all entries.
+    /// Allowed retries in a window in addition to the ratio, for each pool and over all entries.
     pub retry_extra: f64,
-    /// Requests in any second that an endpoint may get while it warms up, over all entries, by the rate that
-    /// the configuration tells.
+    /// Requests that an endpoint may get in any second while it warms up, over all entries, as a
+    /// multiple of the rate in the configuration.
     pub warm_up_ratio: f64,
-    /// Requests in any second besides.
+    /// Requests that it may get in any second in addition to that.
     pub warm_up_extra: f64,
-    /// Longest time for which an endpoint is left alone at its own word, in ms. One that asks for more is tried again
-    /// then, so that a garbled answer does not take it away for good.
+    /// Longest back-off that an endpoint can ask for, in ms. After it the endpoint is tried again,
+    /// so that a garbled response does not take it out of use for good.
     pub longest_rest_ms: u64,
 }
 
 impl Default for Bounds {
-    /// What the code was written against; see docs/PLATFORM.md.
+    /// Bounds of the platform that the entry was written for; see docs/PLATFORM.md.
     fn default() -> Self {
         Self {
             key_removal_ms: None,
@@ -91,12 +93,14 @@
 }
 
 impl Bounds {
-    /// Age of the configuration's proof up to which requests with a key may run; `None` for any.
+    /// Maximum time since the configuration was proven to be the newest for which requests with a
+    /// key may run; `None` for any.
     pub fn max_key_proof_age(&self) -> Option<Millis> {
-        self.key_removal_ms.map(|ms| Millis(ms) - KEY_REMOVAL_SLACK)
+        self.key_removal_ms
+            .map(|ms| Millis(ms) - KEY_REMOVAL_MARGIN)
     }
 
-    /// The retry budget over all entries.
+    /// The retry budget of a pool, over all entries.
     pub fn retries(&self) -> Allowance {
         Allowance {
             window: Millis(self.retry_window_ms),
@@ -105,7 +109,8 @@
         }
     }
 
-    /// What endpoints that warm up may get beyond the rate that they bear.
+    /// How many requests endpoints may get while they warm up, relative to the rate in the
+    /// configuration.
     pub fn warm_up(&self) -> Excess {
         Excess {
             ratio: self.warm_up_ratio,
@@ -127,8 +132,8 @@
         let link = self.link_mbps >= 0.0 && self.link_mbps.is_finite();
         findings.require(link, "link_mbps", "must be 0 or more");
         let bounds = &self.bounds;
-        let slack = KEY_REMOVAL_SLACK.0;
-        let enough = bounds.key_removal_ms.is_none_or(|ms| ms > slack);
+        let margin = KEY_REMOVAL_MARGIN.0;
+        let enough = bounds.key_removal_ms.is_none_or(|ms| ms > margin);
         findings.require(enough, "bounds.key_removal_ms", "must be more than 250");
         let window = bounds.retry_window_ms > 0;
         findings.require(window, "bounds.retry_window_ms", "must be more than 0");
@@ -140,7 +145,7 @@
         findings.require(ratio, "bounds.warm_up_ratio", "must be from 0 to 100");
         let extra = bounds.warm_up_extra >= 0.0 && bounds.warm_up_extra.is_finite();
         findings.require(extra, "bounds.warm_up_extra", "must be 0 or more");
-        let rest = (1..=MOST_REST_MS).contains(&bounds.longest_rest_ms);
+        let rest = (1..=MAX_LONGEST_REST_MS).contains(&bounds.longest_rest_ms);
         findings.require(rest, "bounds.longest_rest_ms", "must be from 1 to 86400000");
     }
 }
