--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -1,4 +1,4 @@
-//! The process of a direct entry: start, tasks, signals, settings read anew, planned stop.
+//! The process of a direct entry: start, tasks, signals, reload of the settings, planned stop.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -21,24 +21,26 @@
 use crate::settings;
 use crate::supervisor::Supervisor;
 
-/// Time between two rounds of housekeeping: well below the lifetime of idle connections and the
-/// time that an endpoint keeps its standing while the list is away.
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
-/// Rounds of housekeeping in a second.
-const ROUNDS_A_SECOND: u32 = 4;
-/// Time after SIGTERM in which connections still come: the balancer asks every second and takes
-/// a process out at the second miss.
-const LINGER: Millis = Millis(2_400);
-/// Part of the time between SIGTERM and SIGKILL at which whatever is left is given up.
-const STOP_PART: f64 = 0.94;
-/// Time between two looks at whether a stop has ended.
-const STOP_LOOK: Duration = Duration::from_millis(20);
-/// Time for last bytes to leave before the process ends.
-const FLUSH: Duration = Duration::from_millis(50);
-/// Time between two looks at whether the settings file has changed without a signal.
-const RELOAD_LOOK: Duration = Duration::from_millis(1_000);
+/// Interval between two rounds of housekeeping: well below the lifetime of idle connections, and
+/// below the time for which an endpoint stays in use after its list entry expired.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
+/// Rounds of housekeeping per second.
+const ROUNDS_PER_SECOND: u32 = 4;
+/// Time after SIGTERM for which new connections still arrive: the load balancer checks readiness
+/// every second and removes a process after the second failed check.
+const LINGER_TIME: Millis = Millis(2_400);
+/// Fraction of the time between SIGTERM and SIGKILL after which the process ends even if requests
+/// are still in flight.
+const STOP_GRACE_FRACTION: f64 = 0.94;
+/// Interval between two checks whether requests are still in flight during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the last bytes to be sent before the process ends.
+const FLUSH_TIME: Duration = Duration::from_millis(50);
+/// Interval between two checks whether the settings file has changed without a signal.
+const RELOAD_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Runs an entry until a planned stop ends.
+/// Runs an entry until a planned stop has ended. Fails where a socket can't be bound or its address
+/// can't be read.
 pub async fn run(
     settings: DirectSettings,
     path: Option<PathBuf>,
@@ -65,12 +67,12 @@
         "ended",
         "nothing is in flight, or the time to stop was over",
     );
-    sleep(FLUSH).await;
+    sleep(FLUSH_TIME).await;
     supervisor.close();
     Ok(())
 }
 
-/// Starts the tasks of an entry.
+/// Starts all tasks of an entry.
 fn supervise(
     entry: &Rc<Entry>,
     path: Option<PathBuf>,
@@ -82,17 +84,17 @@
     supervisor.child("signals", move || {
         watch_signals(Rc::clone(&cx), path.clone())
     });
-    spawn_learning(&mut supervisor, entry, link);
+    spawn_sync_tasks(&mut supervisor, entry, link);
     spawn_listeners(&mut supervisor, entry, listeners);
     let cx = Rc::clone(entry);
-    supervisor.child("housekeeping", move || keep_house(Rc::clone(&cx)));
+    supervisor.child("housekeeping", move || run_housekeeping(Rc::clone(&cx)));
     supervisor
 }
 
-/// Starts the tasks that learn from the store and from peers.
-fn spawn_learning(supervisor: &mut Supervisor, entry: &Rc<Entry>, link: UdpSocket) {
+/// Starts the tasks that follow the store and exchange state with peers.
+fn spawn_sync_tasks(supervisor: &mut Supervisor, entry: &Rc<Entry>, link: UdpSocket) {
     let link = Rc::new(link);
-    // It is set once, here.
+    // This is the only place that sets the link, so it can't be set already.
     let _ = entry.link.set(Rc::clone(&link));
     let cx = Rc::clone(entry);
     supervisor.child("follow", move || sync::follow(Rc::clone(&cx)));
@@ -108,7 +110,7 @@
     });
 }
 
-/// Starts the tasks that answer the balancer, operators and callers.
+/// Starts the tasks that answer the load balancer, operators and callers.
 fn spawn_listeners(supervisor: &mut Supervisor, entry: &Rc<Entry>, listeners: [TcpListener; 3]) {
     let [callers, readiness, admin] = listeners.map(Rc::new);
     let cx = Rc::clone(entry);
@@ -125,41 +127,45 @@
     });
 }
 
-/// Drops what has expired in every round, and once a second writes counts and gauges.
-async fn keep_house(entry: Rc<Entry>) -> anyhow::Result<()> {
+/// Checks in every round whether the machine was suspended and removes expired state; once a second
+/// logs dropped lines and updates the gauges.
+async fn run_housekeeping(entry: Rc<Entry>) -> anyhow::Result<()> {
     let mut rounds = 0;
     loop {
-        sleep(HOUSEKEEPING).await;
+        sleep(HOUSEKEEPING_INTERVAL).await;
         if let Some(time) = entry.clock.look() {
             entry.resumed(time);
         }
         entry.expire();
         rounds += 1;
-        if rounds % ROUNDS_A_SECOND == 0 {
+        if rounds % ROUNDS_PER_SECOND == 0 {
             entry.log.next_second();
             entry.set_gauges();
         }
     }
 }
 
-/// Stops at SIGTERM or SIGINT, reads the settings anew at SIGHUP or when the file changes.
+/// Starts the planned stop at SIGTERM or SIGINT, and reloads the settings at SIGHUP or when the
+/// file has changed.
 async fn watch_signals(entry: Rc<Entry>, path: Option<PathBuf>) -> anyhow::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
-    let mut seen = None;
+    let mut last_read = None;
     loop {
         tokio::select! {
             _ = term.recv() => entry.stop("SIGTERM"),
             _ = int.recv() => entry.stop("SIGINT"),
-            _ = hup.recv() => reload(&entry, path.as_deref(), &mut seen),
-            () = sleep(RELOAD_LOOK) => reload(&entry, path.as_deref(), &mut seen),
+            _ = hup.recv() => reload(&entry, path.as_deref(), &mut last_read),
+            () = sleep(RELOAD_POLL_INTERVAL) => reload(&entry, path.as_deref(), &mut last_read),
         }
     }
 }
 
-/// Reads the settings file; faulty ones leave those in force. Listeners keep their addresses.
-fn reload(entry: &Entry, path: Option<&Path>, seen: &mut Option<Vec<u8>>) {
+/// Reloads the settings file where its content has changed since `last_read`. Invalid settings are
+/// ignored, and logged unless this is the first read after the start. Changed addresses of
+/// listeners take effect only after a restart.
+fn reload(entry: &Entry, path: Option<&Path>, last_read: &mut Option<Vec<u8>>) {
     let Some(path) = path else { return };
     let text = match std::fs::read(path) {
         Ok(text) => text,
@@ -168,10 +174,10 @@
             return;
         }
     };
-    if seen.as_ref() == Some(&text) {
+    if last_read.as_ref() == Some(&text) {
         return;
     }
-    let first = seen.replace(text.clone()).is_none();
+    let first = last_read.replace(text.clone()).is_none();
     match settings::parse::<DirectSettings>(&text) {
         Ok(new) => {
             if *entry.settings.borrow() == new {
@@ -189,7 +195,8 @@
     }
 }
 
-/// Resolves when a planned stop has ended.
+/// Resolves when a planned stop has ended: after the load balancer has stopped sending connections,
+/// once no request is in flight or the time to stop is over.
 async fn wait_for_end(entry: &Rc<Entry>) {
     let mut life = entry.watch_life();
     while *life.borrow_and_update() == Life::Serving {
@@ -197,12 +204,12 @@
             return;
         }
     }
-    let begun = entry.clock.now();
-    entry.clock.sleep_until(begun + LINGER).await;
+    let stop_started = entry.clock.now();
+    entry.clock.sleep_until(stop_started + LINGER_TIME).await;
     entry.end_work();
     let grace = entry.settings.borrow().bounds.stop_grace_ms;
-    let end = begun + Millis((grace as f64 * STOP_PART) as u64);
+    let end = stop_started + Millis((grace as f64 * STOP_GRACE_FRACTION) as u64);
     while entry.in_flight() > 0 && entry.clock.now() < end {
-        sleep(STOP_LOOK).await;
+        sleep(STOP_POLL_INTERVAL).await;
     }
 }
