--- a/src/direct/explain.rs
+++ b/src/direct/explain.rs
@@ -1,4 +1,5 @@
-//! From a request's id to its cause: the lines about it, and what the process believed meanwhile.
+//! Explains a request's outcome from the decision log: selects the lines about the request and
+//! about changes of the process's state that may have influenced it.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -6,27 +7,29 @@
 use crate::clock::Millis;
 use crate::direct::decision::{Decision, Line, RefusalReason};
 
-/// How long before a request changes of belief may bear on it: some reads of the store.
-const BEFORE: Millis = Millis(5_000);
+/// How long before a request's first line a change of state is still shown: some reads of the
+/// store.
+const LOOKBACK: Millis = Millis(5_000);
 
-/// What was found in a log.
+/// The lines of a log that explain a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Explanation {
-    /// Lines to print.
+    /// The lines to print, in the order of the log. Lines about the request itself are marked with
+    /// `*`; times are relative to its first line.
     pub text: String,
-    /// Lines of the log that were no decision; such as a stack trace.
+    /// Number of lines of the log that are not decisions, such as those of a stack trace.
     pub unreadable: usize,
 }
 
-/// Collects all lines about a request and the beliefs that bear on it; `None` when the log of one
-/// process does not hold the request.
+/// Collects the lines about a request, and about changes of state that may have influenced it, from
+/// the log of one process; `None` where the log does not contain the request.
 ///
-/// Lines may have a prefix before their JSON, as log collectors put it there.
+/// Lines may have a prefix before their JSON, as log collectors add one.
 pub fn explain(log: &str, id: &str) -> Option<Explanation> {
     let mut unreadable = 0;
     let mut lines = Vec::new();
     for text in log.lines().filter(|text| !text.trim().is_empty()) {
-        match read(text) {
+        match parse_line(text) {
             Some(line) => lines.push(line),
             None => unreadable += 1,
         }
@@ -35,31 +38,41 @@
     let first = lines.iter().find(about)?.up;
     let last = lines.iter().rev().find(about)?.up;
     let endpoints: BTreeSet<&str> = lines.iter().filter(about).filter_map(endpoint).collect();
-    let asked: BTreeSet<String> = lines.iter().filter(about).filter_map(fingerprint).collect();
-    let without = lines.iter().filter(about).any(is_without_endpoint);
+    let fingerprints: BTreeSet<String> =
+        lines.iter().filter(about).filter_map(fingerprint).collect();
+    let has_no_endpoint = lines.iter().filter(about).any(found_no_endpoint);
     let mut text = String::new();
     for line in &lines {
-        let is_own = about(&line);
-        let is_near = line.up >= first - BEFORE && line.up <= last;
-        let bears = line.request.is_none() && is_near && bears_on(&line.decision, &endpoints);
-        let speaks = speaks_of(&line.decision, &asked);
-        if is_own || bears || speaks || (line.up <= last && announces(line, &endpoints, without)) {
-            let mark = if is_own { "*" } else { " " };
+        let is_about_request = about(&line);
+        let is_recent = line.up >= first - LOOKBACK && line.up <= last;
+        let is_related =
+            line.request.is_none() && is_recent && may_affect(&line.decision, &endpoints);
+        let reports_end = reports_ended_endpoint(&line.decision, &fingerprints);
+        if is_about_request
+            || is_related
+            || reports_end
+            || (line.up <= last && reports_announcement(line, &endpoints, has_no_endpoint))
+        {
+            let mark = if is_about_request { "*" } else { " " };
             let at = line.up.0 as i64 - first.0 as i64;
-            // Writing to a string does not fail.
-            let _ = writeln!(text, "{mark} {at:>+7} ms  {}", tell(&line.decision));
+            // Writing to a string can't fail.
+            let _ = writeln!(
+                text,
+                "{mark} {at:>+7} ms  {}",
+                format_decision(&line.decision)
+            );
         }
     }
     Some(Explanation { text, unreadable })
 }
 
-/// Reads a line from its first brace on.
-fn read(text: &str) -> Option<Line> {
+/// Parses a line from its first brace on; `None` where it is not a decision.
+fn parse_line(text: &str) -> Option<Line> {
     let from = text.find('{')?;
     serde_json::from_str(&text[from..]).ok()
 }
 
-/// The endpoint that a line about a request names.
+/// Identity of the endpoint that a line about a request names; `None` for other lines.
 fn endpoint(line: &Line) -> Option<&str> {
     match &line.decision {
         Decision::Placed { endpoint, .. }
@@ -69,7 +82,7 @@
     }
 }
 
-/// Digest of what the request of a line asks for, where the line tells it.
+/// Digest of what the request of a line asks for; `None` where the line does not contain it.
 fn fingerprint(line: &Line) -> Option<String> {
     match &line.decision {
         Decision::AttemptFailed { fingerprint, .. } if !fingerprint.is_empty() => {
@@ -83,17 +96,20 @@
     }
 }
 
-/// Whether a line tells that endpoints ended under what was asked for, however long before.
-fn speaks_of(decision: &Decision, asked: &BTreeSet<String>) -> bool {
+/// Whether a line reports that endpoints ended while they ran a request with one of these
+/// fingerprints. Such lines are shown however old they are.
+fn reports_ended_endpoint(decision: &Decision, fingerprints: &BTreeSet<String>) -> bool {
     match decision {
-        Decision::EndpointEnded { lost, .. } => lost.iter().any(|digest| asked.contains(digest)),
-        Decision::RequestRefused { fingerprint, .. } => asked.contains(fingerprint),
+        Decision::EndpointEnded { lost, .. } => {
+            lost.iter().any(|digest| fingerprints.contains(digest))
+        }
+        Decision::RequestRefused { fingerprint, .. } => fingerprints.contains(fingerprint),
         _ => false,
     }
 }
 
-/// Whether a request found no endpoint that takes requests.
-fn is_without_endpoint(line: &Line) -> bool {
+/// Whether a line reports that no endpoint accepted a request.
+fn found_no_endpoint(line: &Line) -> bool {
     match &line.decision {
         Decision::Refused { why, .. } => matches!(
             why,
@@ -105,9 +121,9 @@
     }
 }
 
-/// Whether a line tells that one of these endpoints wants no requests, however long before; of a request that found none,
-/// any endpoint.
-fn announces(line: &Line, endpoints: &BTreeSet<&str>, any: bool) -> bool {
+/// Whether a line reports that one of these endpoints (any endpoint, with `any`) wants no requests
+/// or limits their rate. Such lines are shown however old they are.
+fn reports_announcement(line: &Line, endpoints: &BTreeSet<&str>, any: bool) -> bool {
     match &line.decision {
         Decision::EndpointAnnounced { endpoint, .. }
         | Decision::EndpointLimited { endpoint, .. } => {
@@ -117,8 +133,8 @@
     }
 }
 
-/// Whether a change of belief may be a cause for a request at these endpoints.
-fn bears_on(decision: &Decision, endpoints: &BTreeSet<&str>) -> bool {
+/// Whether a recent change of state may have influenced a request that was sent to these endpoints.
+fn may_affect(decision: &Decision, endpoints: &BTreeSet<&str>) -> bool {
     match decision {
         Decision::EndpointListed { endpoint, .. }
         | Decision::EndpointHealth { endpoint, .. }
@@ -131,12 +147,12 @@
     }
 }
 
-/// The decision's name and fields, as in the log.
-fn tell(decision: &Decision) -> String {
+/// Formats a decision's name and fields as text.
+fn format_decision(decision: &Decision) -> String {
     let fields = match serde_json::to_value(decision) {
         Ok(serde_json::Value::Object(fields)) => fields,
         Ok(other) => return other.to_string(),
-        Err(err) => return format!("not printable: {err}"),
+        Err(err) => return format!("decision not serializable: {err}"),
     };
     let name = fields.get("what").and_then(|what| what.as_str());
     let mut text = name.unwrap_or_default().to_owned();
