--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -1,4 +1,5 @@
-//! What the balancer and operators ask: readiness, metrics, state, the configuration in force.
+//! The HTTP interface for the load balancer, operators and peers: readiness, metrics, state, and
+//! what peers fetch of the configuration and the list of endpoints.
 
 use std::rc::Rc;
 
@@ -13,24 +14,25 @@
 use crate::listener;
 use crate::rate::Rate;
 
-/// Path of the metrics, as Prometheus text.
+/// Path of the metrics, in the Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
 /// Path of the configuration in force, as JSON.
 const CATALOG_PATH: &str = "/v1/catalog";
-/// Path of what makes it of a version, for peers; the version follows.
-const NEWER_PATH: &str = "/v1/catalog/since/";
-/// Path of the changes after a revision, for peers; the revision follows.
+/// Path of the update from a version of the configuration to the one in force, for peers; the
+/// version follows.
+const CATALOG_SINCE_PATH: &str = "/v1/catalog/since/";
+/// Path of the changes of the list of endpoints after a revision, for peers; the revision follows.
 const CHANGES_PATH: &str = "/v1/changes/";
-/// Path of the whole list of endpoints, for peers that the store turns away.
+/// Path of the whole list of endpoints, for peers that can't read it from the store.
 const LIST_PATH: &str = "/v1/list";
-/// Path of the state that operators read.
+/// Path of the process's state for operators, as JSON.
 const STATE_PATH: &str = "/v1/state";
 
-/// Answers the balancer.
+/// Answers the load balancer's readiness checks with 200 or 503.
 pub async fn answer_readiness(entry: Rc<Entry>, socket: Rc<TcpListener>) -> anyhow::Result<()> {
     listener::serve(socket, move |req: Request| {
-        let known = req.path() == entry.dialect.readiness_path();
-        let status = match (known, entry.is_ready()) {
+        let is_readiness_path = req.path() == entry.dialect.readiness_path();
+        let status = match (is_readiness_path, entry.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -40,7 +42,7 @@
     .await
 }
 
-/// Answers operators and peers.
+/// Answers requests of operators and peers.
 pub async fn answer_admin(entry: Rc<Entry>, socket: Rc<TcpListener>) -> anyhow::Result<()> {
     listener::serve(socket, move |req: Request| {
         let answer = admin(&entry, req.path());
@@ -51,31 +53,33 @@
 
 fn admin(entry: &Entry, path: &str) -> Response<BoxBody> {
     match path {
-        METRICS_PATH => text(entry.gauges.text().into_bytes()),
+        METRICS_PATH => ok_response(entry.gauges.text().into_bytes()),
         CATALOG_PATH => catalog(entry),
-        _ if path.starts_with(NEWER_PATH) => catalog_since(entry, &path[NEWER_PATH.len()..]),
+        _ if path.starts_with(CATALOG_SINCE_PATH) => {
+            catalog_since(entry, &path[CATALOG_SINCE_PATH.len()..])
+        }
         _ if path.starts_with(CHANGES_PATH) => changes_since(entry, &path[CHANGES_PATH.len()..]),
-        LIST_PATH => changes::encode(&entry.whole_list()).map_or_else(not_found, text),
-        STATE_PATH => text(state(entry).to_string().into_bytes()),
+        LIST_PATH => changes::encode(&entry.whole_list()).map_or_else(not_found, ok_response),
+        STATE_PATH => ok_response(state(entry).to_string().into_bytes()),
         _ => not_found(),
     }
 }
 
 fn catalog(entry: &Entry) -> Response<BoxBody> {
     let catalog = entry.catalog();
-    let written = catalog.and_then(|catalog| serde_json::to_vec(&catalog.parts()).ok());
-    written.map_or_else(not_found, text)
+    let json = catalog.and_then(|catalog| serde_json::to_vec(&catalog.parts()).ok());
+    json.map_or_else(not_found, ok_response)
 }
 
 fn catalog_since(entry: &Entry, version: &str) -> Response<BoxBody> {
-    let newer = version.parse().ok().and_then(|v| entry.catalog_since(v));
-    newer.map_or_else(not_found, text)
+    let update = version.parse().ok().and_then(|v| entry.catalog_since(v));
+    update.map_or_else(not_found, ok_response)
 }
 
 fn changes_since(entry: &Entry, revision: &str) -> Response<BoxBody> {
-    let passed = revision.parse().ok().and_then(|r| entry.changes_since(r));
-    match passed.as_ref().and_then(changes::encode) {
-        Some(bytes) => text(bytes),
+    let found = revision.parse().ok().and_then(|r| entry.changes_since(r));
+    match found.as_ref().and_then(changes::encode) {
+        Some(bytes) => ok_response(bytes),
         None => not_found(),
     }
 }
@@ -110,32 +114,32 @@
     })
 }
 
-fn text(body: Vec<u8>) -> Response<BoxBody> {
+fn ok_response(body: Vec<u8>) -> Response<BoxBody> {
     Response::ok().set_body(BoxBody::new(body))
 }
 
-/// Asks a peer for what makes its configuration of a version.
+/// Makes the request for a peer's patches from a version of the configuration to the newest.
 pub fn catalog_since_query(version: u64) -> RequestHead {
-    get(&format!("{NEWER_PATH}{version}"))
+    get(&format!("{CATALOG_SINCE_PATH}{version}"))
 }
 
-/// Asks a peer for its whole list of endpoints.
+/// Makes the request for a peer's whole list of endpoints.
 pub fn list_query() -> RequestHead {
     get(LIST_PATH)
 }
 
-/// Asks a peer for the changes after a revision.
+/// Makes the request for a peer's changes of the list of endpoints after a revision.
 pub fn changes_query(revision: Revision) -> RequestHead {
     get(&format!("{CHANGES_PATH}{revision}"))
 }
 
-/// The head of a GET request without further headers.
+/// The head of a GET request with only a `Host` header. An invalid path is logged and left out.
 pub fn get(path: &str) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = Method::GET;
     match path.parse() {
         Ok(uri) => head.uri = uri,
-        Err(err) => tracing::error!(%err, path, "not a path"),
+        Err(err) => tracing::error!(%err, path, "invalid request path"),
     }
     let host: HeaderName = HOST;
     head.headers
