--- a/src/direct/answerer.rs
+++ b/src/direct/answerer.rs
@@ -1,4 +1,4 @@
-//! Writing answers to a caller's connection.
+//! Writes responses to a caller's connection.
 
 use std::io;
 
@@ -13,10 +13,11 @@
 
 use crate::direct::channel::service_config;
 
-/// The writing side of a connection.
+/// The writing half of a caller's connection, with the codec of both halves.
 pub struct Answerer {
     writer: OwnedWriteHalf,
     codec: Codec,
+    /// Encoded bytes that are not written yet.
     out: BytesMut,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl Answerer {
-    /// The writing side of a fresh connection.
+    /// Creates the writer of a new connection.
     pub fn new(writer: OwnedWriteHalf) -> Self {
         Self {
             writer,
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Decodes what the caller sent: reading and writing share the codec, which knows from the
-    /// request how the answer is framed.
+    /// Decodes the next part of a request from `buf`; `None` where more bytes are needed. Reading
+    /// and writing share the codec, because the framing of a response depends on its request.
     pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Message<Request>>, ParseError> {
         self.codec.decode(buf)
     }
@@ -49,7 +50,7 @@
         self.codec.message_type() != MessageType::None
     }
 
-    /// Writes a whole answer; `close` tells the caller that the connection ends with it.
+    /// Writes a complete response; `close` tells the caller that the connection ends with it.
     pub async fn send_response(
         &mut self,
         head: ResponseHead,
@@ -57,55 +58,56 @@
         close: bool,
     ) -> io::Result<()> {
         let size = BodySize::Sized(body.len() as u64);
-        self.put_head(head, size, close)?;
+        self.encode_head(head, size, close)?;
         if !body.is_empty() {
-            self.put_chunk(Some(body))?;
+            self.encode_chunk(Some(body))?;
         }
         self.flush().await
     }
 
-    /// Begins an answer in pieces with the first one.
+    /// Writes the head and the first chunk of a streamed response.
     pub async fn start_stream(
         &mut self,
         head: ResponseHead,
-        first: Bytes,
+        first_chunk: Bytes,
         close: bool,
     ) -> io::Result<()> {
-        self.put_head(head, BodySize::Stream, close)?;
-        self.send_chunk(first).await
+        self.encode_head(head, BodySize::Stream, close)?;
+        self.send_chunk(first_chunk).await
     }
 
-    /// Writes a piece of an answer that was begun.
+    /// Writes a further chunk of a streamed response.
     pub async fn send_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         if !bytes.is_empty() {
-            self.put_chunk(Some(bytes))?;
+            self.encode_chunk(Some(bytes))?;
         }
         self.flush().await
     }
 
-    /// Ends an answer that was begun; without this it looks broken off.
+    /// Marks the end of a streamed response; without this the caller sees it as incomplete.
     pub async fn finish_stream(&mut self) -> io::Result<()> {
-        self.put_chunk(None)?;
+        self.encode_chunk(None)?;
         self.flush().await
     }
 
-    /// Whether the connection is kept after the answer.
+    /// Whether the connection stays open after the response.
     pub fn keeps_connection(&self) -> bool {
         self.codec.keep_alive()
     }
 
-    /// Tells a caller that waits for it to send its body (RFC 9110, 10.1.1).
+    /// Sends `100 Continue` to a caller that waits for it before it sends the body (RFC 9110,
+    /// 10.1.1).
     pub async fn send_continue(&mut self) -> io::Result<()> {
-        let send_continue = b"HTTP/1.1 100 Continue\r\n\r\n";
-        self.writer.write_all(send_continue).await
+        let interim_response = b"HTTP/1.1 100 Continue\r\n\r\n";
+        self.writer.write_all(interim_response).await
     }
 
-    /// Tells the caller that nothing more will be written.
+    /// Closes the writing half of the connection.
     pub async fn shutdown(&mut self) -> io::Result<()> {
         self.writer.shutdown().await
     }
 
-    fn put_head(&mut self, head: ResponseHead, size: BodySize, close: bool) -> io::Result<()> {
+    fn encode_head(&mut self, head: ResponseHead, size: BodySize, close: bool) -> io::Result<()> {
         let mut res = Response::new(head.status);
         *res.headers_mut() = head.headers;
         if close {
@@ -115,7 +117,7 @@
         self.codec.encode(message, &mut self.out)
     }
 
-    fn put_chunk(&mut self, chunk: Option<Bytes>) -> io::Result<()> {
+    fn encode_chunk(&mut self, chunk: Option<Bytes>) -> io::Result<()> {
         self.codec.encode(Message::Chunk(chunk), &mut self.out)
     }
 
