--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -1,4 +1,5 @@
-//! One request from reading to its last byte: allowed here, run by its [`Job`].
+//! Handles one request after it has been read: decides whether it is allowed, and lets a [`Job`]
+//! run it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,30 +14,31 @@
 use crate::direct::refuse::{self, COME_BACK_ELSEWHERE};
 use crate::direct::resolve::Denied;
 
-/// Serves a request; false when the connection is to be closed.
+/// Handles a request and writes its response; returns false where the connection must be closed
+/// after it.
 pub async fn handle(
     entry: &Rc<Entry>,
     incoming: &IncomingRequest,
     answerer: &mut Answerer,
     progress: &RefCell<Progress>,
 ) -> bool {
-    let ask = match entry.dialect.parse_request(&incoming.head) {
-        Ok(ask) => ask,
+    let parsed = match entry.dialect.parse_request(&incoming.head) {
+        Ok(parsed) => parsed,
         Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
     };
-    progress.borrow_mut().id = ask.id.as_bytes().to_vec();
+    progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
     if entry.life() == Life::Stopping {
-        refuse::log(entry, &ask, incoming, RefusalReason::Stopping, None);
+        refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
         let refusal = Refusal::NotRun(COME_BACK_ELSEWHERE);
-        return refuse::write(entry, answerer, refusal, Some(&ask)).await;
+        return refuse::write(entry, answerer, refusal, Some(&parsed)).await;
     }
-    let allowed = match entry.allow(&ask) {
+    let allowed = match entry.allow(&parsed) {
         Ok(allowed) => allowed,
-        Err(denied) => return refuse::deny(entry, answerer, &ask, incoming, denied).await,
+        Err(denied) => return refuse::deny(entry, answerer, &parsed, incoming, denied).await,
     };
     let Some(catalog) = entry.catalog() else {
-        return refuse::deny(entry, answerer, &ask, incoming, Denied::NoCatalog).await;
+        return refuse::deny(entry, answerer, &parsed, incoming, Denied::NoCatalog).await;
     };
-    let mut job = Job::new(entry, incoming, &ask, progress, catalog, allowed);
+    let mut job = Job::new(entry, incoming, &parsed, progress, catalog, allowed);
     job.run(answerer).await
 }
