--- a/src/direct/progress.rs
+++ b/src/direct/progress.rs
@@ -1,40 +1,42 @@
-//! What is known of a request in flight, for the line at its end, also when its caller leaves.
+//! The progress of a request in flight, for the log line at its end. It is kept outside the future
+//! that handles the request, so that the line can also be written when the caller disconnects.
 
 use crate::clock::Millis;
 use crate::direct::decision::{Decision, RequestOutcome};
 use crate::direct::entry::Entry;
 use crate::direct::intake::IncomingRequest;
 
-/// What is known of a request in flight; empty where it has not got that far.
+/// The progress of a request in flight; fields are empty until the request gets that far.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Its id, as the log holds it.
+    /// The caller's id of the request.
     pub id: Vec<u8>,
     /// Name of its route.
     pub route: String,
-    /// Name of the pool that it is sent to.
+    /// Name of the pool whose endpoints it is sent to.
     pub pool: String,
-    /// Urgency of its route.
+    /// Urgency of its route; 0 is the highest.
     pub urgency: Option<u8>,
-    /// Id of the endpoint that it was last sent to.
+    /// Identity of the endpoint that it was last sent to.
     pub endpoint: String,
-    /// When the first byte of its answer left.
+    /// When the first byte of the response was sent to the caller.
     pub first_byte_at: Option<Millis>,
-    /// When the last piece of its answer left.
-    last: Option<Millis>,
-    /// Longest time between two pieces.
+    /// When the last chunk of a streamed response was sent.
+    last_chunk_at: Option<Millis>,
+    /// Longest time between two chunks; `None` before the second one.
     longest_pause: Option<Millis>,
 }
 
 impl Progress {
-    /// A piece of the answer has left.
+    /// Notes that a chunk of the response has been sent to the caller.
     pub fn chunk_sent(&mut self, now: Millis) {
-        if let Some(last) = self.last.replace(now) {
+        if let Some(last) = self.last_chunk_at.replace(now) {
             self.longest_pause = self.longest_pause.max(Some(now - last));
         }
     }
 
-    /// Logs and counts the end of the request; `status` is 0 where the caller got no whole answer.
+    /// Logs and counts the end of the request; `status` is 0 where the caller got no complete
+    /// response.
     pub fn log_ended(
         &self,
         entry: &Entry,
