--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -1,24 +1,33 @@
-//! Direct placement: an entry that orders endpoints itself, without a sidecar beside each.
+//! Direct placement: an entry that chooses endpoints and sends requests to them itself, without a
+//! sidecar beside each endpoint.
 //!
-//! The way of a request: [`caller`] (accept) - [`intake`] (read) - [`handle`] (allow or refuse) -
-//! [`job`] (attempts, each [`choose`] - [`channel`] - [`relay`]) - [`answerer`] (write) -
-//! [`progress`] (the line at its end).
-//! Permission is decided by [`resolve`] (route, team) and [`residency`] (regions); [`refuse`] writes the entry's own answers.
-//! Whether a request is sent at all is decided by [`admission`] and by the [`room`] that is left for more urgent ones, which
-//! follows the [`turnover`] of this entry; and how many an endpoint that has just started
-//! gets by [`warmup`]. For a [`demand`], an endpoint is chosen by its [`price`], which follows from its [`load`], what it
-//! keeps of the [`prefix`] of a prompt or has by [`moves`], and the [`lanes`] of its pool.
-//! Runs that an endpoint did not finish are kept by [`ends`] until it is known whether the endpoint itself has ended; then
-//! [`crate::quarantine`] counts that against what they asked for.
-//! What the platform says of endpoints and zones is [`listed`], what endpoints say of themselves in their answers
-//! [`crate::announced`]. What a process believes is kept by [`catalog`] (routes, pools, teams), [`directory`]
-//! (endpoints, with the [`cordons`] of their zones), [`freshness`] (how old that knowledge is) and [`peers`] (other entries), fed by
-//! [`sync`] (the store), and by [`gossip`] and [`fetch`] (peers), which pass on what is in
-//! [`changes`] and [`versions`] (a [`patch`] each). All decisions are state machines
-//! without I/O; [`entry`] is the state that the tasks share, [`process`] starts and ends them and
-//! opens the sockets.
+//! A request passes through these modules: [`caller`] accepts the connection, [`intake`] reads the
+//! request, [`handle`] allows or refuses it, [`job`] makes the attempts (each one uses [`choose`],
+//! [`channel`] and [`relay`]), [`answerer`] writes the response, and [`progress`] logs the end.
 //!
-//! The formats on the wire come from an implementation of [`dialect::Dialect`].
+//! - Permission: [`resolve`] finds the route and the team, [`residency`] checks the regions, and
+//!   [`refuse`] writes the entry's own error responses.
+//! - Admission: [`admission`] decides whether a request is sent at all, and [`room`] reserves
+//!   capacity for more urgent requests, based on the entry's recent requests in [`turnover`].
+//!   [`warmup`] limits the requests to endpoints that have just started.
+//! - Choice: for a [`demand`], the endpoint with the lowest [`price`] is chosen. The price depends
+//!   on the endpoint's [`load`], the [`prefix`] of the prompt that it has cached or can fetch from
+//!   another endpoint ([`moves`]), and the [`lanes`] of its pool.
+//! - Endpoints that end: [`ends`] keeps the runs that an endpoint did not finish until it is known
+//!   whether the endpoint itself has ended. [`crate::quarantine`] then counts that against what the
+//!   runs asked for.
+//! - State: [`listed`] defines what the platform lists of endpoints and zones, and
+//!   [`crate::announced`] what endpoints announce in their responses. The process keeps its state
+//!   in [`catalog`] (routes, pools, teams), [`directory`] (endpoints, with the [`cordons`] of their
+//!   zones), [`freshness`] (age of the configuration) and [`peers`] (other entries).
+//! - Updates: [`sync`] reads them from the store, [`gossip`] and [`fetch`] from peers. For peers,
+//!   [`changes`] keeps changes of the list and [`versions`] those of the configuration, each as a
+//!   [`patch`].
+//!
+//! All decisions are state machines without I/O. [`entry`] is the state that the tasks share;
+//! [`process`] starts and ends the tasks and opens the sockets.
+//!
+//! The wire formats come from an implementation of [`dialect::Dialect`].
 
 pub mod admission;
 pub mod answerer;
