--- a/src/direct/decision.rs
+++ b/src/direct/decision.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::announced::Unwilling;
+use crate::announced::DeclineReason;
 use crate::clock::{Clock, Millis};
 use crate::direct::ends::EndSign;
 use crate::direct::resolve::Denied;
@@ -149,7 +149,7 @@
         /// Set when the request is sent although the endpoint has announced that it wants no
         /// requests: the reason that it gave.
         #[serde(skip_serializing_if = "Option::is_none", default)]
-        against: Option<Unwilling>,
+        against: Option<DeclineReason>,
         /// Rate limit that the endpoint announced for all instances together, in requests per
         /// second.
         #[serde(skip_serializing_if = "Option::is_none", default)]
@@ -277,7 +277,7 @@
         /// Identity of the endpoint.
         endpoint: String,
         /// What it announced.
-        announces: Unwilling,
+        announces: DeclineReason,
         /// For how long, in ms; `None` where no end is known.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         for_ms: Option<u64>,
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -11,10 +11,12 @@
 
 use slotmap::{new_key_type, SlotMap};
 
-use crate::announced::{is_other_life, Announced, Announcement, FormerLives, Unwilling};
+use crate::announced::{
+    is_other_incarnation, AnnouncedState, Announcement, DeclineReason, FormerIncarnations,
+};
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
-pub use crate::direct::listed::{Change, Cordon, Listed, Listing, Revision};
+pub use crate::direct::listed::{Change, Cordon, ListedEndpoint, Listing, Revision};
 
 /// Time within which live endpoints have written their entries again after the list became
 /// available; the platform gives them about two seconds.
@@ -53,14 +55,14 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     /// Its newest list entry.
-    pub listed: Listed,
+    pub listed: ListedEndpoint,
     /// Whether it accepts new requests according to the list.
     pub status: EndpointStatus,
     /// Digest of its identity and start time, which names it in messages between entries.
     pub digest: u32,
     /// What it has announced in its responses. The list does not override it: the list learns of a
     /// change later than this entry does, and not at all while the store is unavailable.
-    pub announced: Announced,
+    pub announced: AnnouncedState,
     /// End of its warm-up according to its list entries, counted from when they were received; 0
     /// where none of them announced a warm-up.
     listed_warm_until: Millis,
@@ -117,7 +119,7 @@
     by_id: HashMap<String, EndpointKey>,
     by_digest: HashMap<u32, EndpointKey>,
     /// Announcements of endpoints that were removed.
-    former: FormerLives,
+    former: FormerIncarnations,
     cordons: Cordons,
     /// Whether the list can't be read now.
     unavailable: bool,
@@ -297,10 +299,10 @@
         announcement: Announcement,
         now: Millis,
         longest: Millis,
-    ) -> Option<Announced> {
+    ) -> Option<AnnouncedState> {
         let endpoint = self.endpoints.get_mut(key)?;
         let before = endpoint.announced;
-        endpoint.announced.take(announcement, now, longest);
+        endpoint.announced.apply(announcement, now, longest);
         Some(before)
     }
 
@@ -330,7 +332,8 @@
     /// accept requests again after it; `None` where there is none.
     pub fn earliest_backoff_end(&self, pool: &str, now: Millis) -> Option<Millis> {
         let of_pool = self.endpoints.values().filter(|e| e.listed.pool == pool);
-        let backing_off = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
+        let backing_off =
+            of_pool.filter(|e| e.announced.decline_reason(now) == Some(DeclineReason::Rests));
         let backing_off = backing_off.filter(|e| self.accepts_work(e, e.announced.rests_until));
         backing_off.map(|e| e.announced.rests_until).min()
     }
@@ -374,7 +377,7 @@
     /// Whether an endpoint accepts new requests according to both the list and its own
     /// announcements, and its availability zone is not cordoned.
     fn accepts_work(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let is_willing = endpoint.announced.standing(now).is_none();
+        let is_willing = endpoint.announced.decline_reason(now).is_none();
         is_willing && endpoint.status.accepts_work() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
@@ -392,7 +395,7 @@
     /// Adds or updates an endpoint, unless a newer entry of it is known. Where the endpoint was
     /// started again, it gets a new key and the old one is returned, because the new process has
     /// neither the requests nor the memory of the old one.
-    fn put(&mut self, listed: Listed, now: Millis) -> Option<EndpointKey> {
+    fn put(&mut self, listed: ListedEndpoint, now: Millis) -> Option<EndpointKey> {
         let known = self.by_id.get(&listed.id).copied();
         let Some(key) = known else {
             self.insert(listed, now);
@@ -402,7 +405,7 @@
         if endpoint.listed.revision > listed.revision {
             return None;
         }
-        if is_other_life(endpoint.listed.born, listed.born) {
+        if is_other_incarnation(endpoint.listed.born, listed.born) {
             self.remove(key, now);
             self.insert(listed, now);
             return Some(key);
@@ -412,11 +415,11 @@
         }
         endpoint.status = listed_status(&listed);
         let born = listed.born.or(endpoint.listed.born);
-        endpoint.listed = Listed { born, ..listed };
+        endpoint.listed = ListedEndpoint { born, ..listed };
         None
     }
 
-    fn insert(&mut self, listed: Listed, now: Millis) {
+    fn insert(&mut self, listed: ListedEndpoint, now: Millis) {
         let id = listed.id.clone();
         let digest = digest(&id, listed.born);
         let mut endpoint = Endpoint {
@@ -467,7 +470,7 @@
 
     fn remove(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.endpoints.remove(key) {
-            let Listed { id, born, .. } = &endpoint.listed;
+            let ListedEndpoint { id, born, .. } = &endpoint.listed;
             self.former.keep(id, *born, endpoint.announced, now);
             self.by_id.remove(id);
             self.by_digest.remove(&endpoint.digest);
@@ -475,7 +478,7 @@
     }
 }
 
-const fn listed_status(listed: &Listed) -> EndpointStatus {
+const fn listed_status(listed: &ListedEndpoint) -> EndpointStatus {
     if listed.draining {
         EndpointStatus::Draining
     } else {
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -16,7 +16,7 @@
 use crate::direct::turnover::Turnover;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::LifeDigest;
+use crate::quarantine::IncarnationDigest;
 
 /// Idle connections kept to one endpoint.
 const MOST_IDLE: usize = 24;
@@ -34,7 +34,7 @@
     /// Pool that it serves.
     pool: String,
     /// Digest of this life of it.
-    life: LifeDigest,
+    life: IncarnationDigest,
     /// Its load.
     pub load: Load,
     /// Its record.
@@ -286,7 +286,7 @@
     pub(super) fn open_accounts(&self) {
         let directory = self.directory.borrow();
         let smallest = directory.smallest_pool_size();
-        self.quarantine.borrow_mut().set_endpoints(smallest);
+        self.quarantine.borrow_mut().set_endpoint_count(smallest);
         let mut accounts = self.accounts.borrow_mut();
         for (key, endpoint) in directory.iter() {
             if !accounts.contains_key(key) {
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -6,7 +6,7 @@
 use super::Entry;
 use crate::clock::Millis;
 use crate::direct::catalog::Catalog;
-use crate::direct::changes::PassedOn;
+use crate::direct::changes::ChangeBatch;
 use crate::direct::decision::Decision;
 use crate::direct::dialect::{ParsedRequest, Unreadable};
 use crate::direct::directory::Cordon;
@@ -14,7 +14,7 @@
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
 use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
-use crate::direct::versions::{self, Newer, WrittenPatch};
+use crate::direct::versions::{self, EncodedPatch, VersionUpdate};
 
 /// Keys of unreadable entries that are remembered, so that each is logged once.
 const MOST_UNREADABLE: usize = 1_000;
@@ -82,13 +82,13 @@
     }
 
     /// Takes what a peer passed on, as far as it is newer; false when it does not lead on from here.
-    pub fn take_newer(&self, newer: Newer, from: &str) -> bool {
+    pub fn take_newer(&self, newer: VersionUpdate, from: &str) -> bool {
         let (patches, written) = match newer {
-            Newer::Whole(catalog) => {
+            VersionUpdate::Full(catalog) => {
                 self.take_catalog(catalog, from);
                 return true;
             }
-            Newer::Patches(patches, written) => (patches, written),
+            VersionUpdate::Patches(patches, written) => (patches, written),
         };
         let Some(own) = self.catalog() else {
             return false;
@@ -102,17 +102,17 @@
             return false;
         };
         let kept = patches.iter().zip(written).skip(first);
-        let kept = kept.map(|(patch, text)| WrittenPatch {
+        let kept = kept.map(|(patch, payload)| EncodedPatch {
             base: patch.base,
             version: patch.version,
-            text,
+            payload,
         });
         self.put_in_force(catalog, kept.collect(), from);
         true
     }
 
     /// Puts a newer version in force; `patches` lead to it from the one before.
-    fn put_in_force(&self, catalog: Catalog, patches: Vec<WrittenPatch>, from: &str) {
+    fn put_in_force(&self, catalog: Catalog, patches: Vec<EncodedPatch>, from: &str) {
         self.log.state_change(Decision::CatalogInForce {
             version: catalog.version,
             before: self.version(),
@@ -140,7 +140,7 @@
         if begun > before {
             let changes = self.directory.borrow().changes_to(&listed, before, begun);
             let mut log = self.changes.borrow_mut();
-            log.keep_listing(before, begun, &changes);
+            log.append_listing(before, begun, &changes);
         }
         let gone = self.directory.borrow_mut().replace(listed, begun, now);
         self.forget(&gone);
@@ -154,7 +154,7 @@
     /// Those that the list holds already are left out: an older entry of an endpoint that has left
     /// meanwhile would bring it back.
     pub fn take_changes(&self, changes: Vec<Change>, up_to: Revision) {
-        self.take_passed_on(PassedOn {
+        self.take_passed_on(ChangeBatch {
             changes,
             up_to,
             spans: Vec::new(),
@@ -163,21 +163,21 @@
 
     /// Takes the changes that a peer passed on. The list may have got further since the peer was asked, into a span that
     /// the peer knows from a listing: they do not lead on from here then, and the store is asked.
-    pub fn take_passed_on(&self, passed: PassedOn) {
+    pub fn take_passed_on(&self, passed: ChangeBatch) {
         let before = self.listed_up_to.get();
-        let PassedOn { up_to, .. } = passed;
+        let ChangeBatch { up_to, .. } = passed;
         if up_to <= before {
             return;
         }
-        if !passed.leads_on_from(before) {
+        if !passed.applies_to(before) {
             self.watch_again.notify_one();
             return;
         }
         let mut changes = passed.changes;
         changes.retain(|change| change.revision() > before);
         let mut log = self.changes.borrow_mut();
-        log.keep(before, up_to, &changes);
-        log.keep_spans(&passed.spans);
+        log.append(before, up_to, &changes);
+        log.append_spans(&passed.spans);
         drop(log);
         for change in changes {
             self.take_change(change);
@@ -326,12 +326,12 @@
 
 /// The new version made of the old one, so that they share what did not change, and the patch for
 /// peers; `None` where there can't be one.
-fn patched(old: &Catalog, new: &Catalog) -> Option<(Catalog, WrittenPatch)> {
+fn patched(old: &Catalog, new: &Catalog) -> Option<(Catalog, EncodedPatch)> {
     let patch = Patch::between(old, new)?;
-    let written = WrittenPatch {
+    let written = EncodedPatch {
         base: patch.base,
         version: patch.version,
-        text: versions::write(&patch)?,
+        payload: versions::encode_compressed(&patch)?,
     };
     let catalog = Patch::apply_all(&[patch], old)?;
     Some((catalog, written))
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::Entry;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::decision::Decision;
 use crate::direct::directory::EndpointKey;
@@ -80,7 +80,7 @@
     pub fn endpoint_limited(
         &self,
         key: EndpointKey,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         sent: Millis,
         request: &[u8],
     ) {
@@ -199,7 +199,9 @@
     pub fn round_limits(&self) {
         let now = self.clock.now();
         let is_leaving = self.life() != super::Life::Serving;
-        self.peers.borrow_mut().note_serving(is_leaving, now);
+        self.peers
+            .borrow_mut()
+            .update_serving_peers(is_leaving, now);
         let is_own = |target| matches!(self.coordinator(target), Coordinator::Own { .. });
         self.limits.borrow_mut().round(is_own, now);
     }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -13,8 +13,10 @@
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
-use crate::direct::peers::{self, Covers, Hello, Tell, FAR_BYTES, MOST_BYTES, ROUND};
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::direct::peers::{
+    self, GossipMessage, Tell, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, ROUND_INTERVAL,
+};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 /// Pause after an error of the socket.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -35,18 +37,18 @@
 const REPEATS: u8 = 48;
 
 /// Tells some peers each round.
-pub async fn tell(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
+pub async fn send_rounds(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut rounds = 0;
-    let mut next = Instant::now() + ROUND.duration();
+    let mut next = Instant::now() + ROUND_INTERVAL.duration();
     loop {
         tokio::select! {
-            () = sleep_until(next) => next = Instant::now() + ROUND.duration(),
+            () = sleep_until(next) => next = Instant::now() + ROUND_INTERVAL.duration(),
             () = entry.tell_now.notified() => {
                 tell_at_once(&entry, &socket).await;
                 continue;
             }
         }
-        entry.judge();
+        entry.evaluate_suspects();
         entry.round_limits();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS;
@@ -54,8 +56,11 @@
         for tell in round {
             let hello = hello_for(&entry, tell, now);
             let bytes = send(&socket, tell.to, &hello).await;
-            entry.peers.borrow_mut().sent_bytes(tell.covers, bytes);
-            let since = entry.peers.borrow().notices_since(tell.covers, now);
+            entry
+                .peers
+                .borrow_mut()
+                .record_sent_bytes(tell.work_scope, bytes);
+            let since = entry.peers.borrow().notices_since(tell.work_scope, now);
             send_notices(&entry, &socket, tell.to, since, repeats).await;
             tell_limits(&entry, tell.to, since);
         }
@@ -71,7 +76,7 @@
 async fn tell_at_once(entry: &Entry, socket: &UdpSocket) {
     sleep(GATHER.duration()).await;
     let since = entry.clock.now() - Millis(GATHER.0 * 2);
-    let peers = entry.peers.borrow_mut().at_once();
+    let peers = entry.peers.borrow_mut().immediate_targets();
     for peer in peers {
         send_notices(entry, socket, peer, since, false).await;
     }
@@ -86,11 +91,12 @@
     repeats: bool,
 ) {
     let now = entry.clock.now();
-    let notices = entry
-        .quarantine
-        .borrow()
-        .recent()
-        .since(since, repeats, MOST_NOTICES, now);
+    let notices =
+        entry
+            .quarantine
+            .borrow()
+            .recent()
+            .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
     send_alert(socket, to, &notices).await;
 }
 
@@ -125,19 +131,19 @@
     if let Some(to) = source {
         let tell = Tell {
             to,
-            covers: Covers::Nothing,
+            work_scope: WorkScope::Nothing,
         };
         let mut hello = hello_for(entry, tell, now);
-        hello.asks = true;
+        hello.wants_reply = true;
         send(socket, to, &hello).await;
     }
 }
 
 /// Sends a datagram; its length in bytes.
-async fn send(socket: &UdpSocket, to: SocketAddr, hello: &Hello) -> usize {
-    let most = match hello.covers {
-        Covers::Zone => FAR_BYTES,
-        Covers::Sender | Covers::Nothing => MOST_BYTES,
+async fn send(socket: &UdpSocket, to: SocketAddr, hello: &GossipMessage) -> usize {
+    let most = match hello.work_scope {
+        WorkScope::Zone => MAX_REMOTE_BYTES,
+        WorkScope::Sender | WorkScope::Nothing => MAX_DATAGRAM_BYTES,
     };
     let Some(bytes) = peers::encode_within(hello, most) else {
         tracing::warn!(work = hello.work.len(), "datagram too long, not sent");
@@ -151,8 +157,8 @@
 }
 
 /// Hears peers.
-pub async fn hear(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
-    let mut buf = vec![0; MOST_BYTES];
+pub async fn receive(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((length, from)) => match peers::decode(&buf[..length]) {
@@ -160,12 +166,15 @@
                     let is_new = heard(&entry, from, &hello);
                     if is_new {
                         let now = entry.clock.now();
-                        let refused = entry.quarantine.borrow().refused_notices(MOST_NOTICES, now);
+                        let refused = entry
+                            .quarantine
+                            .borrow()
+                            .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
                         send_alert(&socket, from, &refused).await;
                     }
                     // A peer that is not known learns the zone of this entry at once, and so whom it
                     // tells in turn.
-                    if hello.asks || is_new {
+                    if hello.wants_reply || is_new {
                         answer(&entry, &socket, from).await;
                     }
                 }
@@ -194,29 +203,29 @@
 async fn answer(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
     let tell = Tell {
         to,
-        covers: Covers::Nothing,
+        work_scope: WorkScope::Nothing,
     };
     let hello = hello_for(entry, tell, entry.clock.now());
     send(socket, to, &hello).await;
 }
 
 /// What this entry tells one peer now.
-fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> Hello {
-    let work = work_for(entry, tell.covers, now);
+fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
+    let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
-    let since = book.placed_since(tell.covers, now);
-    let (placed, others) = match tell.covers {
-        Covers::Sender => (
+    let since = book.placements_since(tell.work_scope, now);
+    let (placements, peer_addresses) = match tell.work_scope {
+        WorkScope::Sender => (
             entry.placements.borrow().since(since, OWN_PLACED),
-            book.others(tell.to, now),
+            book.peer_addresses(tell.to, now),
         ),
-        Covers::Zone => (
+        WorkScope::Zone => (
             entry.zone_placements.borrow().since(since, ZONE_PLACED),
-            book.others(tell.to, now),
+            book.peer_addresses(tell.to, now),
         ),
-        Covers::Nothing => (Vec::new(), Vec::new()),
+        WorkScope::Nothing => (Vec::new(), Vec::new()),
     };
-    Hello {
+    GossipMessage {
         from: entry.id,
         number: book.next_number(now),
         echo: book.echo(tell.to),
@@ -231,20 +240,20 @@
         link_mbps: book.link_mbps(),
         zone: book.zone(),
         zone_entries: book.zone_entries(now),
-        asks: false,
-        others,
-        covers: tell.covers,
+        wants_reply: false,
+        peer_addresses,
+        work_scope: tell.work_scope,
         work,
-        placed,
+        placements,
     }
 }
 
 /// The work that a datagram tells, by the digests of the endpoints.
-fn work_for(entry: &Entry, covers: Covers, now: Millis) -> Vec<(u32, Work)> {
-    let of = |load: &Load| match covers {
-        Covers::Sender => load.own(now),
-        Covers::Zone => load.of_cell(now),
-        Covers::Nothing => Work::default(),
+fn work_for(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, Work)> {
+    let of = |load: &Load| match work_scope {
+        WorkScope::Sender => load.own(now),
+        WorkScope::Zone => load.of_cell(now),
+        WorkScope::Nothing => Work::default(),
     };
     let directory = entry.directory();
     let accounts = entry.accounts();
@@ -258,9 +267,9 @@
 
 /// Takes a datagram: the peer, its proof, its version, its work and its placements. True when the
 /// peer was not known.
-fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &Hello) -> bool {
+fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &GossipMessage) -> bool {
     let now = entry.clock.now();
-    let heard = entry.peers.borrow_mut().hear(from, hello, now);
+    let heard = entry.peers.borrow_mut().record_message(from, hello, now);
     if heard.is_new {
         let peers = entry.peers.borrow().entries(now) - 1;
         entry.log_peer(from, peers);
@@ -288,12 +297,12 @@
 }
 
 /// Takes what a peer tells of work at each endpoint.
-fn take_work(entry: &Entry, hello: &Hello, now: Millis) {
+fn take_work(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let book = entry.peers.borrow();
-    let (teller, lasts) = match (hello.covers, hello.zone) {
-        (Covers::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
-        (Covers::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_word(now)),
-        (Covers::Zone, None) | (Covers::Nothing, _) => return,
+    let (teller, lasts) = match (hello.work_scope, hello.zone) {
+        (WorkScope::Sender, _) => (Teller::Peer(hello.from), book.neighbor_report_ttl()),
+        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_report_ttl(now)),
+        (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
     let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
     let directory = entry.directory();
@@ -308,15 +317,15 @@
 }
 
 /// Takes note of the prompts that a peer placed.
-fn take_placements(entry: &Entry, hello: &Hello, now: Millis) {
+fn take_placements(entry: &Entry, hello: &GossipMessage, now: Millis) {
     let directory = entry.directory();
     let mut prefixes = entry.prefixes.borrow_mut();
     let mut of_zone = entry.zone_placements.borrow_mut();
-    for placed in &hello.placed {
+    for placed in &hello.placements {
         if let Some(key) = directory.by_digest(placed.endpoint) {
-            prefixes.note(key, std::iter::once(placed.part), now, now);
+            prefixes.note(key, std::iter::once(placed.segment_id), now, now);
         }
-        if hello.covers == Covers::Sender {
+        if hello.work_scope == WorkScope::Sender {
             of_zone.hear(*placed, now);
         }
     }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -19,7 +19,7 @@
     decode, encode, Given, Message, PermitAnswer, PermitAsk, ToldWord, MOST_TOLD,
 };
 pub use self::word::Word;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::direct::peers::{Coordinator, ZoneId};
@@ -81,17 +81,17 @@
     pub fn hear(
         &mut self,
         target: Target,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         sent: Millis,
         now: Millis,
     ) -> Option<Option<Rate>> {
         let is_known = self.by_endpoint.contains_key(&target.endpoint);
         let limit = match named {
             // What stood, stands.
-            NamedLimit::Unreadable => return None,
-            NamedLimit::None if !is_known => return None,
-            NamedLimit::None => None,
-            NamedLimit::Rate(rate) => Some(rate),
+            AnnouncedLimit::Unreadable => return None,
+            AnnouncedLimit::None if !is_known => return None,
+            AnnouncedLimit::None => None,
+            AnnouncedLimit::Rate(rate) => Some(rate),
         };
         let heard = now;
         let word = Word { limit, sent, heard };
@@ -168,12 +168,13 @@
             return Step::Wait(ask_at);
         }
         let until = match by {
-            Coordinator::Own { part, is_settled } if !stands_still => {
-                match limited.take(part, is_settled, band, 1, now) {
-                    Ok(_) => return Step::Permitted,
-                    Err(until) => until,
-                }
-            }
+            Coordinator::Own {
+                visible_share,
+                is_settled,
+            } if !stands_still => match limited.take(visible_share, is_settled, band, 1, now) {
+                Ok(_) => return Step::Permitted,
+                Err(until) => until,
+            },
             Coordinator::Peer(peer) if may_ask => {
                 self.asks.0 -= 1.0;
                 limited.asking = Some(now);
@@ -224,9 +225,12 @@
         let given = match by {
             // It has ended, and the asker learns that from the word.
             _ if known.is_some_and(|word| word.limit.is_none()) => Given::Permits(1),
-            Coordinator::Own { part, is_settled } if !stands_still => {
+            Coordinator::Own {
+                visible_share,
+                is_settled,
+            } if !stands_still => {
                 let wanted = u32::from(ask.wanted).min(MOST_WANTED);
-                match limited.take(part, is_settled, band, wanted, now) {
+                match limited.take(visible_share, is_settled, band, wanted, now) {
                     Ok(given) => Given::Permits(given as u8),
                     Err(until) => Given::Nothing((until - now).as_u32()),
                 }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -7,14 +7,14 @@
 
 use super::compact;
 use super::zones::ZoneId;
-use super::PlacedPrompt;
+use super::PromptPlacement;
 use crate::direct::load::Work;
 
 /// Longest datagram that is sent or read, in bytes: below the usual limit of a packet on a path.
-pub const MOST_BYTES: usize = 8 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
 /// Memory that a datagram takes once read, at most, in bytes: an item of work takes 12 bytes on
 /// the wire and 32 in memory.
-const MOST_DECODED: usize = 8 * MOST_BYTES;
+const MOST_DECODED: usize = 8 * MAX_DATAGRAM_BYTES;
 
 /// One life of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 
 /// Whose work a datagram tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Covers {
+pub enum WorkScope {
     /// The sender's own; nothing is told of others.
     Sender,
     /// That of all entries of the sender's availability zone, as far as it hears them.
@@ -33,7 +33,7 @@
 
 /// What an entry tells its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct GossipMessage {
     /// The sender.
     pub from: PeerId,
     /// Number of this datagram; rises.
@@ -63,21 +63,21 @@
     /// Entries that serve in that zone, the sender included.
     pub zone_entries: u32,
     /// Whether the sender wants an answer at once: its proof grows old.
-    pub asks: bool,
+    pub wants_reply: bool,
     /// Addresses of some entries.
-    pub others: Vec<SocketAddr>,
+    pub peer_addresses: Vec<SocketAddr>,
     /// Whose work follows.
-    pub covers: Covers,
+    pub work_scope: WorkScope,
     /// Work at endpoints, by the digest of their identity; those at rest are left out.
     #[serde(with = "compact")]
     pub work: Vec<(u32, Work)>,
     /// Prompts that they placed lately.
-    pub placed: Vec<PlacedPrompt>,
+    pub placements: Vec<PromptPlacement>,
 }
 
-/// Writes a datagram; `None` when that is not possible within [`MOST_BYTES`].
-pub fn encode(hello: &Hello) -> Option<Vec<u8>> {
-    encode_within(hello, MOST_BYTES)
+/// Writes a datagram; `None` when that is not possible within [`MAX_DATAGRAM_BYTES`].
+pub fn encode(hello: &GossipMessage) -> Option<Vec<u8>> {
+    encode_within(hello, MAX_DATAGRAM_BYTES)
 }
 
 /// Writes a datagram; `None` when that is not possible within `most` bytes.
@@ -85,13 +85,13 @@
 /// One that would be too long leaves out placements, then the least of the sender's work: were it not
 /// sent, peers would also miss the proof, the version and the revisions in it, and take the
 /// sender for silent.
-pub fn encode_within(hello: &Hello, most: usize) -> Option<Vec<u8>> {
+pub fn encode_within(hello: &GossipMessage, most: usize) -> Option<Vec<u8>> {
     let bytes = write(hello)?;
     if bytes.len() <= most {
         return Some(bytes);
     }
     let mut shorter = hello.clone();
-    shorter.placed.clear();
+    shorter.placements.clear();
     let weight = |work: &Work| Reverse((work.running, work.all_unread()));
     shorter.work.sort_by_key(|(_, work)| weight(work));
     loop {
@@ -106,12 +106,12 @@
     }
 }
 
-fn write(hello: &Hello) -> Option<Vec<u8>> {
+fn write(hello: &GossipMessage) -> Option<Vec<u8>> {
     bincode::serde::encode_to_vec(hello, bincode::config::standard()).ok()
 }
 
 /// Reads a datagram; `None` when it is not one of ours.
-pub fn decode(bytes: &[u8]) -> Option<Hello> {
+pub fn decode(bytes: &[u8]) -> Option<GossipMessage> {
     let config = bincode::config::standard().with_limit::<MOST_DECODED>();
     let (hello, read) = bincode::serde::decode_from_slice(bytes, config).ok()?;
     (read == bytes.len()).then_some(hello)
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -20,9 +20,13 @@
 
 pub use self::alert::{decode_notices, encode_notices};
 pub use self::coordinator::Coordinator;
-pub use self::hello::{decode, encode, encode_within, Covers, Hello, PeerId, MOST_BYTES};
-pub use self::placements::{PlacedPrompt, RecentPlacements};
-pub use self::rounds::{Tell, FAR_BYTES, FAR_PER_ROUND, PER_ROUND, ROUND, ROUND_BYTES};
+pub use self::hello::{
+    decode, encode, encode_within, GossipMessage, PeerId, WorkScope, MAX_DATAGRAM_BYTES,
+};
+pub use self::placements::{PromptPlacement, RecentPlacements};
+pub use self::rounds::{
+    Tell, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, NEIGHBORS_PER_ROUND, REMOTES_PER_ROUND, ROUND_INTERVAL,
+};
 pub use self::zones::ZoneId;
 use self::zones::Zones;
 use crate::clock::Millis;
@@ -63,7 +67,7 @@
 
 /// All peers of one entry.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerTable {
     own: SocketAddr,
     /// Bandwidth of the own link, in Mbit/s; 0 where it is not known.
     link_mbps: u32,
@@ -107,7 +111,7 @@
     changed: Millis,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// A book that holds the seeds.
     ///
     /// Numbers begin at a random one, so that an echo of an earlier life of this process is not
@@ -192,7 +196,7 @@
     }
 
     /// Some addresses to pass on, other than the receiver's own.
-    pub fn others(&mut self, receiver: SocketAddr, now: Millis) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&mut self, receiver: SocketAddr, now: Millis) -> Vec<SocketAddr> {
         let silence = self.silence();
         let heard = self.peers.iter().filter(|(address, peer)| {
             **address != receiver && peer.heard.is_some_and(|at| now - at < silence)
@@ -207,8 +211,13 @@
     }
 
     /// Takes a datagram.
-    pub fn hear(&mut self, from: SocketAddr, hello: &Hello, now: Millis) -> Heard {
-        for other in &hello.others {
+    pub fn record_message(
+        &mut self,
+        from: SocketAddr,
+        hello: &GossipMessage,
+        now: Millis,
+    ) -> Heard {
+        for other in &hello.peer_addresses {
             self.meet(*other, now);
         }
         self.meet(from, now);
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -102,11 +102,11 @@
     supervisor.child("prove", move || sync::prove(Rc::clone(&cx)));
     let (cx, socket) = (Rc::clone(entry), Rc::clone(&link));
     supervisor.child("tell", move || {
-        gossip::tell(Rc::clone(&cx), Rc::clone(&socket))
+        gossip::send_rounds(Rc::clone(&cx), Rc::clone(&socket))
     });
     let cx = Rc::clone(entry);
     supervisor.child("hear", move || {
-        gossip::hear(Rc::clone(&cx), Rc::clone(&link))
+        gossip::receive(Rc::clone(&cx), Rc::clone(&link))
     });
 }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -47,16 +47,16 @@
 /// Requests that are remembered; a full table takes 1.1 MB.
 const MOST_CASES: usize = 4_096;
 /// Notices in one message at most: with 17 bytes each they fit one packet on any path.
-pub const MOST_NOTICES: usize = 72;
+pub const MAX_NOTICES_PER_MESSAGE: usize = 72;
 
 /// One life of an endpoint, as a digest that all entries compute alike.
-pub type LifeDigest = u32;
+pub type IncarnationDigest = u32;
 
 /// An endpoint's life that ended under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
+pub struct EndpointEnd {
     /// The endpoint's life.
-    pub endpoint: LifeDigest,
+    pub endpoint: IncarnationDigest,
     /// When the run was sent there.
     pub began: Millis,
     /// When it was lost.
@@ -65,7 +65,7 @@
 
 /// The endpoints of a pool that took work when one of them ended: a request that is sent to that pool was at one of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Among {
+pub struct PoolSnapshot {
     /// Digest of the pool's name.
     pub pool: u32,
     /// How many they were.
@@ -74,7 +74,7 @@
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it.
     Clear,
     /// Endpoints ended under it; it may run once at a time, and that is told to others.
@@ -83,7 +83,7 @@
         ends: usize,
     },
     /// The same, and a copy runs somewhere, or another request does that shares its ends, or it is not judged yet.
-    UnderWay {
+    MustWait {
         /// Ends in a row.
         ends: usize,
         /// When that copy was sent; `None` where there is none.
@@ -147,19 +147,19 @@
     }
 
     /// Whether a request may be sent at `now`.
-    pub fn standing(&self, request: Fingerprint, now: Millis) -> Standing {
+    pub fn request_status(&self, request: Fingerprint, now: Millis) -> QuarantineStatus {
         let Some(case) = self.cases.get(&request) else {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         };
         let ends = case.in_a_row();
         if ends == 0 && case.cause_since.is_none() {
-            return Standing::Clear;
+            return QuarantineStatus::Clear;
         }
         if let Some(until) = Self::refused_until(case).filter(|until| now < *until) {
-            return Standing::Refused { ends, until };
+            return QuarantineStatus::Refused { ends, until };
         }
         if let Some(until) = self.unjudged.get(&request).copied() {
-            return Standing::UnderWay {
+            return QuarantineStatus::MustWait {
                 ends,
                 began: None,
                 until,
@@ -168,18 +168,18 @@
         // A run that began before the last end is that one, or was lost with it.
         let begun = case.began.filter(|at| Some(*at) > case.last_end());
         match begun {
-            Some(began) if now < began + TRIAL_TIME => Standing::UnderWay {
+            Some(began) if now < began + TRIAL_TIME => QuarantineStatus::MustWait {
                 ends,
                 began: Some(began),
                 until: began + TRIAL_TIME,
             },
             _ => match self.rival_until(request, case, now) {
-                Some(until) => Standing::UnderWay {
+                Some(until) => QuarantineStatus::MustWait {
                     ends,
                     began: None,
                     until,
                 },
-                None => Standing::Suspect { ends },
+                None => QuarantineStatus::Suspect { ends },
             },
         }
     }
@@ -201,16 +201,16 @@
     }
 
     /// An endpoint of an unknown pool ended under a request.
-    pub fn ended(&mut self, request: Fingerprint, end: End, now: Millis) -> Change {
-        self.ended_among(request, end, None, now)
+    pub fn record_end(&mut self, request: Fingerprint, end: EndpointEnd, now: Millis) -> Change {
+        self.record_end_in_pool(request, end, None, now)
     }
 
     /// An endpoint ended under a request.
-    pub fn ended_among(
+    pub fn record_end_in_pool(
         &mut self,
         request: Fingerprint,
-        end: End,
-        among: Option<Among>,
+        end: EndpointEnd,
+        among: Option<PoolSnapshot>,
         now: Millis,
     ) -> Change {
         self.make_room(request, now);
@@ -239,7 +239,7 @@
     ///
     /// What ended at the same moment is heard some rounds later. Judged at once, one of 1,274 innocent requests was taken
     /// for the cause when a third of 56 endpoints ended together.
-    pub fn judge(&mut self, now: Millis) -> Vec<Fingerprint> {
+    pub fn evaluate_suspects(&mut self, now: Millis) -> Vec<Fingerprint> {
         let due = self.unjudged.iter().filter(|(_, at)| now >= **at);
         let due: Vec<Fingerprint> = due.map(|(request, _)| *request).collect();
         let mut refused = Vec::new();
@@ -284,7 +284,7 @@
 
     /// Whether an end under a request is explained by another one that was there: by one that had been taken for the
     /// cause before, or that has gone on to end endpoints without this one.
-    fn is_explained(&self, request: Fingerprint, case: &Case, end: &End) -> bool {
+    fn is_explained(&self, request: Fingerprint, case: &Case, end: &EndpointEnd) -> bool {
         let newest = case.last_end().unwrap_or_default();
         let others = self.cases.iter().filter(|(other, _)| **other != request);
         let mut there = others
@@ -300,7 +300,7 @@
     }
 
     /// Tells how many endpoints there are, for ends of endpoints whose pool is not known.
-    pub fn set_endpoints(&mut self, count: usize) {
+    pub fn set_endpoint_count(&mut self, count: usize) {
         self.lives.endpoints = count;
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// A request under suspicion was sent to an endpoint.
-    pub fn began(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
+    pub fn record_start(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(case) = self.cases.get_mut(&request) else {
             return Change::None;
         };
@@ -343,7 +343,7 @@
     }
 
     /// An endpoint finished a request.
-    pub fn finished(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
+    pub fn record_completion(&mut self, request: Fingerprint, at: Millis, now: Millis) -> Change {
         let Some(case) = self.cases.get_mut(&request) else {
             return Change::None;
         };
@@ -365,12 +365,17 @@
     }
 
     /// Takes what a peer tells, of endpoints of unknown pools.
-    pub fn take(&mut self, notice: &Notice, now: Millis) -> Change {
-        self.take_among(notice, None, now)
+    pub fn apply_notice(&mut self, notice: &Notice, now: Millis) -> Change {
+        self.apply_notice_in_pool(notice, None, now)
     }
 
     /// Takes what a peer tells; `among` is of the endpoint that ended.
-    pub fn take_among(&mut self, notice: &Notice, among: Option<Among>, now: Millis) -> Change {
+    pub fn apply_notice_in_pool(
+        &mut self,
+        notice: &Notice,
+        among: Option<PoolSnapshot>,
+        now: Millis,
+    ) -> Change {
         let at = |age: u32| now - Millis(u64::from(age));
         match *notice {
             Notice::Ended {
@@ -379,16 +384,18 @@
                 began,
                 ended,
             } => {
-                let end = End {
+                let end = EndpointEnd {
                     endpoint,
                     began: at(began),
                     ended: at(ended),
                 };
-                self.ended_among(request, end, among, now)
+                self.record_end_in_pool(request, end, among, now)
             }
-            Notice::Began { request, began } => self.began(request, at(began), now),
+            Notice::Began { request, began } => self.record_start(request, at(began), now),
             Notice::Refused { request, since } => self.told_refused(request, at(since), now),
-            Notice::Finished { request, finished } => self.finished(request, at(finished), now),
+            Notice::Finished { request, finished } => {
+                self.record_completion(request, at(finished), now)
+            }
         }
     }
 
@@ -399,7 +406,7 @@
 
     /// What a peer must know that was not heard for a while: the newest of what is refused.
     pub fn refused_notices(&self, most: usize, now: Millis) -> Vec<Notice> {
-        let requests = self.refused(now).into_iter();
+        let requests = self.refused_requests(now).into_iter();
         let all = requests.flat_map(|request| {
             let case = self.cases.get(&request);
             let ends = case.map_or(&[][..], |case| &case.ends);
@@ -414,12 +421,12 @@
     }
 
     /// Ends in a row under a request.
-    pub fn ends(&self, request: Fingerprint) -> usize {
+    pub fn consecutive_ends(&self, request: Fingerprint) -> usize {
         self.cases.get(&request).map_or(0, Case::in_a_row)
     }
 
     /// The requests that are refused now, the newest first.
-    pub fn refused(&self, now: Millis) -> Vec<Fingerprint> {
+    pub fn refused_requests(&self, now: Millis) -> Vec<Fingerprint> {
         let refused = self.cases.iter().filter(|(_, case)| {
             let until = Self::refused_until(case);
             until.is_some_and(|until| now < until)
--- a/src/quarantine/notice.rs
+++ b/src/quarantine/notice.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{End, LifeDigest};
+use super::{EndpointEnd, IncarnationDigest};
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
@@ -14,7 +14,7 @@
         /// The request.
         request: Fingerprint,
         /// The endpoint's life.
-        endpoint: LifeDigest,
+        endpoint: IncarnationDigest,
         /// Age of the run's beginning.
         began: u32,
         /// Age of its end.
@@ -45,7 +45,7 @@
 
 impl Notice {
     /// An end under a request, told at `now`.
-    pub(super) fn of_end(request: Fingerprint, end: &End, now: Millis) -> Self {
+    pub(super) fn of_end(request: Fingerprint, end: &EndpointEnd, now: Millis) -> Self {
         Self::Ended {
             request,
             endpoint: end.endpoint,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,9 +9,9 @@
     CallerLimits, Catalog, PoolShare, RepeatPolicy, ResponseKind, Route, Team,
 };
 use violetline::direct::decision::DecisionLog;
-use violetline::direct::directory::Listed;
+use violetline::direct::directory::ListedEndpoint;
 use violetline::direct::entry::Entry;
-use violetline::direct::peers::{Covers, Hello, PeerId};
+use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::settings::{Bounds, DirectSettings};
 use violetline::platform::Platform;
 
@@ -60,8 +60,8 @@
 }
 
 /// An endpoint of the pool as listed at a revision.
-pub fn listed(id: &str, revision: u64) -> Listed {
-    Listed {
+pub fn listed(id: &str, revision: u64) -> ListedEndpoint {
+    ListedEndpoint {
         id: id.into(),
         pool: "pool".into(),
         address: ([127, 0, 0, 1], 9_000).into(),
@@ -98,8 +98,8 @@
 }
 
 /// A datagram of an entry that tells nothing but itself.
-pub fn hello(from: u64, number: u64, echo: Option<u64>) -> Hello {
-    Hello {
+pub fn hello(from: u64, number: u64, echo: Option<u64>) -> GossipMessage {
+    GossipMessage {
         from: PeerId(from),
         number,
         echo,
@@ -114,10 +114,10 @@
         link_mbps: 0,
         zone: None,
         zone_entries: 1,
-        asks: false,
-        others: Vec::new(),
-        covers: Covers::Sender,
+        wants_reply: false,
+        peer_addresses: Vec::new(),
+        work_scope: WorkScope::Sender,
         work: Vec::new(),
-        placed: Vec::new(),
+        placements: Vec::new(),
     }
 }
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -4,7 +4,9 @@
 
 use common::listed;
 use violetline::clock::Millis;
-use violetline::direct::directory::{Change, Directory, EndpointStatus, Listed, LAPSE_GRACE};
+use violetline::direct::directory::{
+    Change, Directory, EndpointStatus, ListedEndpoint, LAPSE_GRACE,
+};
 
 fn removed(id: &str, revision: u64) -> Change {
     Change::Removed {
@@ -35,7 +37,7 @@
 #[test]
 fn draining_takes_nothing() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
     };
@@ -76,7 +78,7 @@
 #[test]
 fn draining_never_lapses() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
     };
@@ -88,7 +90,7 @@
 #[test]
 fn old_entry_ignored() {
     let mut directory = with_one();
-    let draining = Listed {
+    let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 5)
     };
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -9,7 +9,8 @@
 use violetline::clock::Millis;
 use violetline::direct::load::Work;
 use violetline::direct::peers::{
-    self, Hello, PeerBook, PeerId, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND, ROUND,
+    self, GossipMessage, PeerId, PeerTable, PromptPlacement, RecentPlacements, MAX_DATAGRAM_BYTES,
+    NEIGHBORS_PER_ROUND, ROUND_INTERVAL,
 };
 
 fn address(i: u8) -> SocketAddr {
@@ -18,7 +19,7 @@
 
 /// A network of books in which datagrams arrive at once, except to and from those that are down.
 struct Network {
-    books: BTreeMap<SocketAddr, PeerBook>,
+    books: BTreeMap<SocketAddr, PeerTable>,
     down: Vec<SocketAddr>,
     /// Those that the store does not answer, so that their proof is old.
     cut_off: Vec<SocketAddr>,
@@ -27,7 +28,7 @@
 
 impl Network {
     fn new(count: u8, seeds: &[SocketAddr]) -> Self {
-        let book = |i| (address(i), PeerBook::new(address(i), seeds, u32::from(i)));
+        let book = |i| (address(i), PeerTable::new(address(i), seeds, u32::from(i)));
         Self {
             books: (1..=count).map(book).collect(),
             down: Vec::new(),
@@ -39,7 +40,7 @@
     fn rounds(&mut self, count: u32) -> usize {
         let mut sent = 0;
         for _ in 0..count {
-            self.now = self.now + ROUND;
+            self.now = self.now + ROUND_INTERVAL;
             let mut up: Vec<SocketAddr> = self.books.keys().copied().collect();
             up.retain(|a| !self.down.contains(a));
             for from in up {
@@ -54,7 +55,7 @@
         let Some(book) = self.books.get_mut(&from) else {
             return 0;
         };
-        let watches = book.is_watcher(now);
+        let watches = book.should_watch(now);
         let round: Vec<SocketAddr> = book.round(watches, now).iter().map(|t| t.to).collect();
         let mut messages = Vec::new();
         for peer in &round {
@@ -67,7 +68,7 @@
             } else {
                 300
             });
-            message.others = book.others(*peer, now);
+            message.peer_addresses = book.peer_addresses(*peer, now);
             messages.push((*peer, message));
         }
         for (peer, message) in messages {
@@ -75,7 +76,7 @@
                 continue;
             }
             if let Some(book) = self.books.get_mut(&peer) {
-                book.hear(from, &message, now);
+                book.record_message(from, &message, now);
             }
         }
         round.len()
@@ -84,7 +85,7 @@
     /// Those that are up and watch the store.
     fn watchers(&self) -> Vec<SocketAddr> {
         let up = self.books.iter().filter(|(a, _)| !self.down.contains(a));
-        let watch = up.filter(|(_, book)| book.is_watcher(self.now));
+        let watch = up.filter(|(_, book)| book.should_watch(self.now));
         watch.map(|(address, _)| *address).collect()
     }
 
@@ -191,8 +192,8 @@
 /// A watcher whose proof waits for a large answer is not cut off.
 #[test]
 fn large_answer_excuses() {
-    let mut book = PeerBook::new(address(1), &[], 1);
-    let message = |from: u64, reads_large| Hello {
+    let mut book = PeerTable::new(address(1), &[], 1);
+    let message = |from: u64, reads_large| GossipMessage {
         watches: true,
         proof_age_ms: Some(2_000),
         link_mbps: 10,
@@ -200,13 +201,13 @@
         ..hello(from, 1, None)
     };
     for from in [2, 3] {
-        book.hear(address(from), &message(from.into(), true), Millis(100));
+        book.record_message(address(from), &message(from.into(), true), Millis(100));
     }
-    assert!(!book.is_watcher(Millis(200)));
+    assert!(!book.should_watch(Millis(200)));
     for from in [4, 5] {
-        book.hear(address(from - 2), &message(from.into(), false), Millis(300));
+        book.record_message(address(from - 2), &message(from.into(), false), Millis(300));
     }
-    assert!(book.is_watcher(Millis(400)));
+    assert!(book.should_watch(Millis(400)));
 }
 
 /// An entry's traffic does not grow with the fleet.
@@ -222,12 +223,12 @@
 
 #[test]
 fn echo_dates_question() {
-    let mut book = PeerBook::new(address(1), &[address(2)], 7);
+    let mut book = PeerTable::new(address(1), &[address(2)], 7);
     let number = book.next_number(Millis(500));
-    let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(900));
+    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(900));
     assert_eq!(heard.asked, Some(Millis(500)));
     assert!(heard.is_new);
-    let heard = book.hear(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
+    let heard = book.record_message(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
     assert_eq!(heard.asked, None);
     assert!(!heard.is_new);
 }
@@ -235,28 +236,34 @@
 /// An echo of a number from an earlier life of this process dates nothing.
 #[test]
 fn earlier_life_echo() {
-    let mut earlier = PeerBook::new(address(1), &[], 7);
+    let mut earlier = PeerTable::new(address(1), &[], 7);
     let number = earlier.next_number(Millis(500));
-    let mut book = PeerBook::new(address(1), &[], 8);
+    let mut book = PeerTable::new(address(1), &[], 8);
     book.next_number(Millis(10));
-    let heard = book.hear(address(2), &hello(2, 1, Some(number)), Millis(20));
+    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(20));
     assert_eq!(heard.asked, None);
 }
 
 #[test]
 fn restarted_peer() {
-    let mut book = PeerBook::new(address(1), &[], 1);
-    assert!(book.hear(address(2), &hello(2, 9, None), Millis(10)).is_new);
-    assert!(book.hear(address(2), &hello(3, 1, None), Millis(20)).is_new);
+    let mut book = PeerTable::new(address(1), &[], 1);
+    assert!(
+        book.record_message(address(2), &hello(2, 9, None), Millis(10))
+            .is_new
+    );
+    assert!(
+        book.record_message(address(2), &hello(3, 1, None), Millis(20))
+            .is_new
+    );
     assert_eq!(book.echo(address(2)), Some(1));
 }
 
 /// A datagram that was overtaken changes nothing.
 #[test]
 fn overtaken_datagram() {
-    let mut book = PeerBook::new(address(1), &[], 1);
-    book.hear(address(2), &hello(2, 9, None), Millis(10));
-    book.hear(address(2), &hello(2, 8, None), Millis(20));
+    let mut book = PeerTable::new(address(1), &[], 1);
+    book.record_message(address(2), &hello(2, 9, None), Millis(10));
+    book.record_message(address(2), &hello(2, 8, None), Millis(20));
     assert_eq!(book.echo(address(2)), Some(9));
 }
 
@@ -265,7 +272,7 @@
     arbtest::arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         if let Some(hello) = peers::decode(&bytes) {
-            assert!(peers::encode(&hello).is_some_and(|again| again.len() <= MOST_BYTES));
+            assert!(peers::encode(&hello).is_some_and(|again| again.len() <= MAX_DATAGRAM_BYTES));
         }
         Ok(())
     });
@@ -290,7 +297,7 @@
         })
         .collect();
     let bytes = peers::encode(&sent).unwrap();
-    assert!(bytes.len() <= MOST_BYTES);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     let heard = peers::decode(&bytes).unwrap();
     assert_eq!((heard.number, heard.proof_age_ms), (9, Some(70)));
     assert!(heard.work.len() > 100);
@@ -308,22 +315,22 @@
         delicate: 900,
         pressure: 30_000,
     };
-    sent.others = (0..16).map(address).collect();
+    sent.peer_addresses = (0..16).map(address).collect();
     sent.work = (0..12).map(|i| (u32::MAX - i, work)).collect();
     let mut recent = RecentPlacements::default();
     for i in 0..100 {
         recent.add(
-            PlacedPrompt {
-                part: u64::from(u32::MAX) - i,
+            PromptPlacement {
+                segment_id: u64::from(u32::MAX) - i,
                 endpoint: u32::MAX,
             },
             Millis(0),
         );
     }
-    sent.placed = recent.since(Millis(0), 12);
+    sent.placements = recent.since(Millis(0), 12);
     let length = peers::encode(&sent).unwrap().len();
-    let rounds_per_s = 1_000 / ROUND.0;
-    let per_s = length * PER_ROUND * rounds_per_s as usize;
+    let rounds_per_s = 1_000 / ROUND_INTERVAL.0;
+    let per_s = length * NEIGHBORS_PER_ROUND * rounds_per_s as usize;
     assert!(per_s <= 28 << 10, "{length} bytes, {per_s} a second");
 }
 
@@ -350,22 +357,22 @@
 /// An entry asks for a proof where the store is watched, in its own cell first.
 #[test]
 fn proof_source_watches() {
-    let mut book = PeerBook::new(address(1), &[], 1);
+    let mut book = PeerTable::new(address(1), &[], 1);
     assert_eq!(book.proof_source(3), None);
-    let watching = |from| Hello {
+    let watching = |from| GossipMessage {
         watches: true,
         proof_age_ms: Some(300),
         ..hello(from, 1, None)
     };
-    book.hear(address(2), &hello(2, 1, None), Millis(10));
-    book.hear(address(3), &watching(3), Millis(10));
+    book.record_message(address(2), &hello(2, 1, None), Millis(10));
+    book.record_message(address(3), &watching(3), Millis(10));
     assert!((0..5).all(|draw| book.proof_source(draw) == Some(address(3))));
 }
 
 #[test]
 fn datagram_round_trip() {
     let mut sent = hello(1, 2, Some(3));
-    sent.others = vec![address(4)];
+    sent.peer_addresses = vec![address(4)];
     let bytes = peers::encode(&sent).unwrap();
     assert_eq!(peers::decode(&bytes), Some(sent));
     assert_eq!(peers::decode(&bytes[1..]), None);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,9 +6,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::peers::{self, Hello, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND_INTERVAL};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
+use violetline::quarantine::{
+    Change, EndpointEnd, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE,
+};
 
 use crate::common;
 
@@ -51,7 +53,7 @@
 
 #[derive(Debug)]
 pub struct Member {
-    book: PeerBook,
+    book: PeerTable,
     pub quarantine: Quarantine,
     bytes: Vec<u64>,
     is_telling: bool,
@@ -75,7 +77,7 @@
 
 /// What a day is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct Day {
+pub struct Scenario {
     pub entries: usize,
     pub engines: usize,
     /// Innocent requests a second.
@@ -91,7 +93,7 @@
 }
 
 pub struct Fleet {
-    day: Day,
+    day: Scenario,
     pub members: Vec<Member>,
     by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<std::cmp::Reverse<(u64, Event)>>,
@@ -111,7 +113,7 @@
 }
 
 /// The request that ends engines; others are innocent.
-pub const KILLER: usize = 0;
+pub const CRASHING_REQUEST: usize = 0;
 /// Zones of the fleet.
 pub const ZONES: usize = 12;
 
@@ -119,8 +121,8 @@
     ([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000).into()
 }
 
-fn hello(zone: usize, zone_entries: u32) -> Hello {
-    Hello {
+fn hello(zone: usize, zone_entries: u32) -> GossipMessage {
+    GossipMessage {
         proof_age_ms: Some(0),
         zone: ZoneId::of(&format!("zone-{zone}")),
         zone_entries,
@@ -129,7 +131,7 @@
 }
 
 impl Fleet {
-    pub fn new(day: Day) -> Self {
+    pub fn new(day: Scenario) -> Self {
         let zones = if day.entries > 30 { ZONES } else { 3 };
         let members = (0..day.entries).map(|i| member(i, day, zones));
         let mut fleet = Self {
@@ -150,7 +152,7 @@
             refused: 0,
         };
         for i in 0..day.entries {
-            let phase = fleet.rng.gen_range(0..ROUND.0);
+            let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
         if day.again > 0 {
@@ -203,7 +205,7 @@
             Event::Ends(engine) => self.engine_ends(engine),
             Event::Back(engine) => self.lives[engine] += 1,
             Event::Again => {
-                self.comes(KILLER);
+                self.comes(CRASHING_REQUEST);
                 let next = self.now + self.day.again;
                 self.at(next, Event::Again);
             }
@@ -215,9 +217,9 @@
     }
 
     fn round(&mut self, i: usize) {
-        self.at(self.now + ROUND.0, Event::Round(i));
+        self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         let now = self.time();
-        if !self.members[i].quarantine.judge(now).is_empty() {
+        if !self.members[i].quarantine.evaluate_suspects(now).is_empty() {
             self.wake(i);
         }
         // Nothing that was learned before is told: a round of 450 entries is only worked out where there is something.
@@ -229,7 +231,7 @@
         let round = self.members[i].book.round(false, now);
         let repeats = self.rng.gen_ratio(48, 256);
         for tell in round {
-            let since = self.members[i].book.notices_since(tell.covers, now);
+            let since = self.members[i].book.notices_since(tell.work_scope, now);
             self.send_notices(i, tell.to, since, repeats);
         }
     }
@@ -237,7 +239,7 @@
     fn tell_at_once(&mut self, i: usize) {
         self.members[i].is_telling = false;
         let since = Millis(self.now - 2 * GATHER);
-        for to in self.members[i].book.at_once() {
+        for to in self.members[i].book.immediate_targets() {
             self.send_notices(i, to, since, false);
         }
     }
@@ -245,10 +247,11 @@
     fn send_notices(&mut self, from: usize, to: SocketAddr, since: Millis, repeats: bool) {
         let now = self.time();
         let member = &mut self.members[from];
-        let notices = member
-            .quarantine
-            .recent()
-            .since(since, repeats, MOST_NOTICES, now);
+        let notices =
+            member
+                .quarantine
+                .recent()
+                .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
         let Some(bytes) = peers::encode_notices(&notices) else {
             return;
         };
@@ -267,7 +270,7 @@
         let now = self.time();
         let bytes = self.datagrams.remove(&number).unwrap();
         for notice in peers::decode_notices(&bytes).unwrap() {
-            let change = self.members[i].quarantine.take(&notice, now);
+            let change = self.members[i].quarantine.apply_notice(&notice, now);
             if matches!(change, Change::Refused { .. }) {
                 self.wake(i);
             }
@@ -285,22 +288,27 @@
         let entry = self.rng.gen_range(0..self.day.entries);
         let fingerprint = Fingerprint(request as u64);
         let now = self.time();
-        self.members[entry].quarantine.judge(now);
-        match self.members[entry].quarantine.standing(fingerprint, now) {
-            Standing::Clear => {}
-            Standing::Refused { .. } => {
+        self.members[entry].quarantine.evaluate_suspects(now);
+        match self.members[entry]
+            .quarantine
+            .request_status(fingerprint, now)
+        {
+            QuarantineStatus::Clear => {}
+            QuarantineStatus::Refused { .. } => {
                 self.requests[request].refused = true;
                 self.refused += 1;
                 return;
             }
-            Standing::UnderWay { ends, .. } if ends >= 2 => {
-                if request != KILLER {
+            QuarantineStatus::MustWait { ends, .. } if ends >= 2 => {
+                if request != CRASHING_REQUEST {
                     self.at(self.now + COMES_AGAIN, Event::Comes(request));
                 }
                 return;
             }
-            Standing::UnderWay { .. } | Standing::Suspect { .. } => {
-                self.members[entry].quarantine.began(fingerprint, now, now);
+            QuarantineStatus::MustWait { .. } | QuarantineStatus::Suspect { .. } => {
+                self.members[entry]
+                    .quarantine
+                    .record_start(fingerprint, now, now);
                 self.wake(entry);
             }
         }
@@ -320,7 +328,7 @@
         };
         self.next_run += 1;
         self.runs.insert(self.next_run, run);
-        if request == KILLER {
+        if request == CRASHING_REQUEST {
             self.reached.push(self.now);
             self.at(self.now + CRASHES_AFTER, Event::Ends(engine));
         } else {
@@ -335,7 +343,7 @@
         };
         let fingerprint = Fingerprint(run.request as u64);
         let member = &mut self.members[run.entry];
-        if member.quarantine.finished(fingerprint, now, now) == Change::Cleared {
+        if member.quarantine.record_completion(fingerprint, now, now) == Change::Cleared {
             self.wake(run.entry);
         }
     }
@@ -356,7 +364,7 @@
             .collect();
         for number in lost {
             let run = self.runs.remove(&number).unwrap();
-            if run.request == KILLER {
+            if run.request == CRASHING_REQUEST {
                 self.ended.push(self.now);
             } else {
                 self.requests[run.request].lost += 1;
@@ -364,7 +372,7 @@
                     self.at(self.now + COMES_AGAIN, Event::Comes(run.request));
                 }
             }
-            let end = End {
+            let end = EndpointEnd {
                 endpoint: (engine as u32) << 16 | life,
                 began: run.began,
                 ended: now,
@@ -372,7 +380,7 @@
             let fingerprint = Fingerprint(run.request as u64);
             self.members[run.entry]
                 .quarantine
-                .ended(fingerprint, end, now);
+                .record_end(fingerprint, end, now);
             self.wake(run.entry);
         }
     }
@@ -403,18 +411,18 @@
 
 fn member(
     i: usize,
-    Day {
+    Scenario {
         entries, engines, ..
-    }: Day,
+    }: Scenario,
     zones: usize,
 ) -> Member {
-    let mut book = PeerBook::new(address(i), &[], i as u32);
+    let mut book = PeerTable::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(engines);
+    quarantine.set_endpoint_count(engines);
     book.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
-        book.hear(address(peer), &hello(peer % zones, in_zone), Millis(0));
+        book.record_message(address(peer), &hello(peer % zones, in_zone), Millis(0));
     }
     Member {
         book,
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -2,12 +2,12 @@
 
 use violetline::clock::Millis;
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Notice, Quarantine, Standing};
+use violetline::quarantine::{Change, EndpointEnd, Notice, Quarantine, QuarantineStatus};
 
 const REQUEST: Fingerprint = Fingerprint(7);
 
-fn end(endpoint: u32, began: u64, ended: u64) -> End {
-    End {
+fn end(endpoint: u32, began: u64, ended: u64) -> EndpointEnd {
+    EndpointEnd {
         endpoint,
         began: Millis(began),
         ended: Millis(ended),
@@ -15,21 +15,21 @@
 }
 
 /// A quarantine before twelve endpoints in which these ends were seen as they happened.
-fn seen(ends: &[End]) -> Quarantine {
+fn seen(ends: &[EndpointEnd]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(12);
+    quarantine.set_endpoint_count(12);
     for end in ends {
-        quarantine.ended(REQUEST, *end, end.ended);
+        quarantine.record_end(REQUEST, *end, end.ended);
     }
     quarantine
 }
 
 /// Whether it is refused, once it is judged.
 fn is_refused(quarantine: &mut Quarantine, at: u64) -> bool {
-    quarantine.judge(Millis(u64::MAX));
+    quarantine.evaluate_suspects(Millis(u64::MAX));
     matches!(
-        quarantine.standing(REQUEST, Millis(at)),
-        Standing::Refused { .. }
+        quarantine.request_status(REQUEST, Millis(at)),
+        QuarantineStatus::Refused { .. }
     )
 }
 
@@ -37,12 +37,12 @@
 fn third_in_row() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     assert_eq!(
-        seen(&ends[..2]).standing(REQUEST, Millis(600)),
-        Standing::Suspect { ends: 2 }
+        seen(&ends[..2]).request_status(REQUEST, Millis(600)),
+        QuarantineStatus::Suspect { ends: 2 }
     );
     assert!(is_refused(&mut seen(&ends), 600));
-    let other = seen(&ends).standing(Fingerprint(8), Millis(600));
-    assert_eq!(other, Standing::Clear);
+    let other = seen(&ends).request_status(Fingerprint(8), Millis(600));
+    assert_eq!(other, QuarantineStatus::Clear);
 }
 
 /// A rack goes with three endpoints that run copies of one request; or five copies are under way when the first ends.
@@ -51,12 +51,12 @@
     let at_once = [end(1, 0, 900), end(2, 100, 900), end(3, 300, 910)];
     let quarantine = seen(&at_once);
     assert_eq!(
-        quarantine.standing(REQUEST, Millis(1_000)),
-        Standing::Suspect { ends: 1 }
+        quarantine.request_status(REQUEST, Millis(1_000)),
+        QuarantineStatus::Suspect { ends: 1 }
     );
     let mut again = quarantine;
-    again.ended(REQUEST, end(4, 1_000, 1_100), Millis(1_100));
-    again.ended(REQUEST, end(5, 1_200, 1_300), Millis(1_300));
+    again.record_end(REQUEST, end(4, 1_000, 1_100), Millis(1_100));
+    again.record_end(REQUEST, end(5, 1_200, 1_300), Millis(1_300));
     assert!(is_refused(&mut again, 1_400));
 }
 
@@ -65,14 +65,14 @@
 fn many_end() {
     let long = [1, 2, 3, 4, 5].map(|i| end(i, u64::from(i) * 1_000 - 900, u64::from(i) * 1_000));
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(9);
+    quarantine.set_endpoint_count(9);
     for i in 0..20 {
         let other = end(100 + i, 0, u64::from(i) * 100);
-        quarantine.ended(Fingerprint(50), other, Millis(2_000));
+        quarantine.record_end(Fingerprint(50), other, Millis(2_000));
     }
     for (i, end) in long.iter().enumerate() {
         assert!(!is_refused(&mut quarantine, end.ended.0), "{i} ends");
-        quarantine.ended(REQUEST, *end, end.ended);
+        quarantine.record_end(REQUEST, *end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 5_100));
     // Where nothing else ends meanwhile the third one tells.
@@ -80,11 +80,14 @@
     for i in 0..3 {
         let at = 20_000 + i * 500;
         let end = end(30 + i as u32, at, at + 40);
-        alone.ended(Fingerprint(9), end, Millis(at + 40));
+        alone.record_end(Fingerprint(9), end, Millis(at + 40));
     }
-    alone.judge(Millis(u64::MAX));
-    let standing = alone.standing(Fingerprint(9), Millis(21_100));
-    assert!(matches!(standing, Standing::Refused { ends: 3, .. }));
+    alone.evaluate_suspects(Millis(u64::MAX));
+    let standing = alone.request_status(Fingerprint(9), Millis(21_100));
+    assert!(matches!(
+        standing,
+        QuarantineStatus::Refused { ends: 3, .. }
+    ));
 }
 
 /// What was lost with the ends of a request that is refused by now is not suspected for those.
@@ -92,20 +95,20 @@
 fn explained_ends() {
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)]);
     assert!(is_refused(&mut quarantine, 600));
-    quarantine.set_endpoints(56);
+    quarantine.set_endpoint_count(56);
     let other = Fingerprint(9);
     for end in [end(1, 0, 101), end(2, 150, 301), end(30, 900, 1_000)] {
-        quarantine.ended(other, end, end.ended);
+        quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 1_100));
-    let standing = quarantine.standing(other, Millis(1_100));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = quarantine.request_status(other, Millis(1_100));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
     // One that was at all three ends can't be told from it.
     let mut both = seen(&[end(1, 0, 100), end(2, 200, 300)]);
     for end in [end(1, 0, 101), end(2, 200, 301), end(3, 400, 501)] {
-        both.ended(other, end, end.ended);
+        both.record_end(other, end, end.ended);
     }
-    both.ended(REQUEST, end(3, 400, 500), Millis(502));
+    both.record_end(REQUEST, end(3, 400, 500), Millis(502));
     assert!(is_refused(&mut both, 600));
 }
 
@@ -115,11 +118,11 @@
     let other = Fingerprint(9);
     let mut quarantine = seen(&[end(2, 200, 300), end(3, 400, 500), end(4, 700, 800)]);
     for end in [end(1, 0, 100), end(2, 150, 301), end(3, 350, 501)] {
-        quarantine.ended(other, end, end.ended);
+        quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 900));
-    let standing = quarantine.standing(other, Millis(900));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    let standing = quarantine.request_status(other, Millis(900));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
 }
 
 /// A process that has just started does not know what else ended meanwhile. It refuses what its peers refuse, and nothing
@@ -135,9 +138,9 @@
     };
     let fresh_before = |endpoints| {
         let mut fresh = Quarantine::started_at(Millis(0));
-        fresh.set_endpoints(endpoints);
+        fresh.set_endpoint_count(endpoints);
         for (endpoint, age) in [(1, 3_000), (2, 2_500), (3, 2_000), (4, 1_500)] {
-            fresh.take(&ended(endpoint, age), now);
+            fresh.apply_notice(&ended(endpoint, age), now);
         }
         fresh
     };
@@ -148,10 +151,10 @@
         request: REQUEST,
         since: 1_400,
     };
-    let change = fresh.take(&refused, now);
+    let change = fresh.apply_notice(&refused, now);
     assert!(matches!(change, Change::Refused { .. }));
     assert!(is_refused(&mut fresh, 20));
-    let change = fresh.finished(REQUEST, Millis(30), Millis(30));
+    let change = fresh.record_completion(REQUEST, Millis(30), Millis(30));
     assert_eq!(change, Change::Cleared);
 }
 
@@ -160,24 +163,24 @@
 fn heard_first() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let mut alone = seen(&ends);
-    assert!(alone.judge(Millis(900)).is_empty());
-    let standing = alone.standing(REQUEST, Millis(900));
+    assert!(alone.evaluate_suspects(Millis(900)).is_empty());
+    let standing = alone.request_status(REQUEST, Millis(900));
     assert!(matches!(
         standing,
-        Standing::UnderWay {
+        QuarantineStatus::MustWait {
             ends: 3,
             began: None,
             ..
         }
     ));
-    assert_eq!(alone.judge(Millis(1_000)), [REQUEST]);
+    assert_eq!(alone.evaluate_suspects(Millis(1_000)), [REQUEST]);
     let mut rack = seen(&ends);
     for i in 0..6 {
-        rack.ended(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
+        rack.record_end(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
     }
-    assert!(rack.judge(Millis(1_000)).is_empty());
-    let standing = rack.standing(REQUEST, Millis(1_000));
-    assert_eq!(standing, Standing::Suspect { ends: 3 });
+    assert!(rack.evaluate_suspects(Millis(1_000)).is_empty());
+    let standing = rack.request_status(REQUEST, Millis(1_000));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
 }
 
 /// The end of one life counts once, whoever saw it, in whatever order.
@@ -185,12 +188,12 @@
 fn one_life_once() {
     let mut quarantine = seen(&[end(1, 0, 100), end(1, 0, 104), end(2, 200, 300)]);
     assert_eq!(
-        quarantine.ended(REQUEST, end(2, 201, 330), Millis(400)),
+        quarantine.record_end(REQUEST, end(2, 201, 330), Millis(400)),
         Change::None
     );
     assert!(!is_refused(&mut quarantine, 500));
     // The address and the id are the same; the life is another one.
-    quarantine.ended(REQUEST, end(9, 400, 500), Millis(500));
+    quarantine.record_end(REQUEST, end(9, 400, 500), Millis(500));
     assert!(is_refused(&mut quarantine, 600));
 }
 
@@ -200,7 +203,7 @@
     let now = Millis(1_000);
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
         let mut quarantine = Quarantine::default();
-        quarantine.set_endpoints(12);
+        quarantine.set_endpoint_count(12);
         for i in order {
             let told = Notice::Ended {
                 request: REQUEST,
@@ -208,8 +211,8 @@
                 began: (now - all[i].began).as_u32(),
                 ended: (now - all[i].ended).as_u32(),
             };
-            quarantine.take(&told, now);
-            assert_eq!(quarantine.take(&told, now), Change::None);
+            quarantine.apply_notice(&told, now);
+            assert_eq!(quarantine.apply_notice(&told, now), Change::None);
         }
         assert!(is_refused(&mut quarantine, 1_000), "{order:?}");
     }
@@ -219,31 +222,36 @@
 #[test]
 fn finished_clears() {
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
-    let change = quarantine.finished(REQUEST, Millis(400), Millis(400));
+    let change = quarantine.record_completion(REQUEST, Millis(400), Millis(400));
     assert_eq!(change, Change::Cleared);
     assert_eq!(
-        quarantine.ended(REQUEST, end(3, 150, 350), Millis(450)),
+        quarantine.record_end(REQUEST, end(3, 150, 350), Millis(450)),
         Change::None
     );
-    assert_eq!(quarantine.standing(REQUEST, Millis(500)), Standing::Clear);
-    quarantine.ended(REQUEST, end(4, 500, 600), Millis(600));
-    assert_eq!(quarantine.ends(REQUEST), 1);
+    assert_eq!(
+        quarantine.request_status(REQUEST, Millis(500)),
+        QuarantineStatus::Clear
+    );
+    quarantine.record_end(REQUEST, end(4, 500, 600), Millis(600));
+    assert_eq!(quarantine.consecutive_ends(REQUEST), 1);
 }
 
 #[test]
 fn one_at_once() {
     let mut quarantine = seen(&[end(1, 0, 100)]);
     let now = Millis(200);
-    assert_eq!(quarantine.began(REQUEST, now, now), Change::Began);
-    let standing = quarantine.standing(REQUEST, Millis(250));
-    assert!(matches!(standing, Standing::UnderWay { ends: 1, began, .. } if began == Some(now)));
-    quarantine.ended(REQUEST, end(2, 200, 300), Millis(300));
-    let standing = quarantine.standing(REQUEST, Millis(310));
-    assert_eq!(standing, Standing::Suspect { ends: 2 });
+    assert_eq!(quarantine.record_start(REQUEST, now, now), Change::Began);
+    let standing = quarantine.request_status(REQUEST, Millis(250));
+    assert!(
+        matches!(standing, QuarantineStatus::MustWait { ends: 1, began, .. } if began == Some(now))
+    );
+    quarantine.record_end(REQUEST, end(2, 200, 300), Millis(300));
+    let standing = quarantine.request_status(REQUEST, Millis(310));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
     // A run whose end nobody tells does not hold the next one up for good.
-    quarantine.began(REQUEST, Millis(320), Millis(320));
-    let standing = quarantine.standing(REQUEST, Millis(2_000));
-    assert_eq!(standing, Standing::Suspect { ends: 2 });
+    quarantine.record_start(REQUEST, Millis(320), Millis(320));
+    let standing = quarantine.request_status(REQUEST, Millis(2_000));
+    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
 }
 
 /// Hours later, on other engines: it may run once, and is refused for longer where that ends one more.
@@ -255,18 +263,18 @@
     let later = 601_000;
     quarantine.expire(Millis(later));
     assert_eq!(
-        quarantine.standing(REQUEST, Millis(later)),
-        Standing::Suspect { ends: 3 }
+        quarantine.request_status(REQUEST, Millis(later)),
+        QuarantineStatus::Suspect { ends: 3 }
     );
-    quarantine.ended(REQUEST, end(4, later, later + 100), Millis(later + 100));
+    quarantine.record_end(REQUEST, end(4, later, later + 100), Millis(later + 100));
     assert!(is_refused(&mut quarantine, later + 1_190_000));
-    quarantine.finished(
+    quarantine.record_completion(
         REQUEST,
         Millis(later + 1_201_000),
         Millis(later + 1_201_000),
     );
-    let standing = quarantine.standing(REQUEST, Millis(later + 1_201_000));
-    assert_eq!(standing, Standing::Clear);
+    let standing = quarantine.request_status(REQUEST, Millis(later + 1_201_000));
+    assert_eq!(standing, QuarantineStatus::Clear);
 }
 
 /// A flood of requests that are each lost once does not make entries forget one that ends endpoints.
@@ -275,10 +283,10 @@
     let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
     for i in 0..20_000 {
         let now = Millis(1_000 + i);
-        quarantine.ended(Fingerprint(100 + i), end(3, 900, 1_000), now);
+        quarantine.record_end(Fingerprint(100 + i), end(3, 900, 1_000), now);
     }
     assert!(quarantine.len() <= 4_096);
-    assert_eq!(quarantine.ends(REQUEST), 2);
+    assert_eq!(quarantine.consecutive_ends(REQUEST), 2);
 }
 
 #[test]
@@ -290,7 +298,7 @@
     let told = known.refused_notices(72, late);
     let mut newcomer = Quarantine::default();
     for notice in &told {
-        newcomer.take(notice, Millis(500_000));
+        newcomer.apply_notice(notice, Millis(500_000));
     }
     assert!(is_refused(&mut newcomer, 500_010));
     // The ages go on: it is not refused for longer than elsewhere.
