--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -46,7 +46,7 @@
         let kept = match read {
             Ok(incoming) => serve_one(&entry, &incoming, &mut intake, &mut answerer).await,
             Err(RequestReadError::Refused(refusal)) => {
-                let head = entry.dialect.refusal(refusal, None);
+                let head = entry.dialect.error_response(refusal, None);
                 if answerer
                     .send_response(head, Bytes::new(), true)
                     .await
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -200,10 +200,10 @@
     /// Parses the head of an endpoint's response to the request with this id.
     fn response_info(&self, head: &ResponseHead, id: &HeaderValue) -> ResponseInfo;
     /// Makes the head of the response to the caller from that of the endpoint's response.
-    fn answer(&self, head: &ResponseHead) -> ResponseHead;
+    fn caller_response(&self, head: &ResponseHead) -> ResponseHead;
     /// Makes the head of an error response of the entry itself; `id` is `None` where the request
     /// could not be parsed.
-    fn refusal(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
+    fn error_response(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
 
     /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
@@ -218,14 +218,14 @@
     /// previous page, or `None` for the first one.
     fn page_query(&self, from: Option<&str>) -> RequestHead;
     /// Parses the response to [`Dialect::page_query`].
-    fn page(&self, status: StatusCode, body: &[u8]) -> Result<Page, InvalidResponse>;
+    fn parse_page(&self, status: StatusCode, body: &[u8]) -> Result<Page, InvalidResponse>;
     /// Makes the request for all changes after a revision; the store waits up to `wait` for the
     /// first one.
     fn watch_query(&self, scope: WatchScope, since: Revision, wait: Millis) -> RequestHead;
     /// Parses the response to [`Dialect::watch_query`].
-    fn watched(&self, status: StatusCode, body: &[u8]) -> Result<WatchResult, InvalidResponse>;
+    fn parse_watch(&self, status: StatusCode, body: &[u8]) -> Result<WatchResult, InvalidResponse>;
     /// Makes the request for the store's current revision and cordons. Its response is never stale.
     fn snapshot_query(&self) -> RequestHead;
     /// Parses the response to [`Dialect::snapshot_query`].
-    fn snapshot(&self, status: StatusCode, body: &[u8]) -> Result<Snapshot, InvalidResponse>;
+    fn parse_snapshot(&self, status: StatusCode, body: &[u8]) -> Result<Snapshot, InvalidResponse>;
 }
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -174,7 +174,7 @@
             false => answered.placed.answered(),
         }
         self.began(&answered.choice, answered.placed, answered.sent_at);
-        let head = self.entry.dialect.answer(&answered.reply.head);
+        let head = self.entry.dialect.caller_response(&answered.reply.head);
         self.keep(key, answered.reply, response_info);
         let how = self.account_whole(key, status);
         if answerer
@@ -212,7 +212,7 @@
     ) -> Attempt {
         let key = answered.choice.key;
         let status = answered.reply.head.status.as_u16();
-        let head = self.entry.dialect.answer(&answered.reply.head);
+        let head = self.entry.dialect.caller_response(&answered.reply.head);
         let context = RelayContext {
             position: &self.position,
             close: self.is_closing(),
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -37,7 +37,9 @@
     refusal: Refusal,
     ask: Option<&ParsedRequest>,
 ) -> bool {
-    let head = entry.dialect.refusal(refusal, ask.map(|ask| &ask.id));
+    let head = entry
+        .dialect
+        .error_response(refusal, ask.map(|ask| &ask.id));
     let close = entry.life() != Life::Serving;
     let written = answerer.send_response(head, Bytes::new(), close).await;
     written.is_ok() && answerer.keeps_connection()
--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -54,7 +54,7 @@
     loop {
         let query = entry.dialect.page_query(from.as_deref());
         let (status, body) = call(entry, client, Document::List, query, CALL_TIME).await?;
-        let page = entry.dialect.page(status, &body);
+        let page = entry.dialect.parse_page(status, &body);
         let page = page.map_err(CallError::InvalidResponse)?;
         let begun = *first.get_or_insert(page.current);
         listing.endpoints.extend(page.listing.endpoints);
@@ -76,6 +76,6 @@
 ) -> Result<Option<Box<Catalog>>, CallError> {
     let query = entry.dialect.catalog_query();
     let (status, body) = call(entry, client, Document::Catalog, query, CALL_TIME).await?;
-    let catalog = entry.dialect.catalog(status, &body);
+    let catalog = entry.dialect.parse_catalog(status, &body);
     catalog.map_err(CallError::InvalidResponse)
 }
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -63,7 +63,7 @@
 ) -> Result<Snapshot, CallError> {
     let head = entry.dialect.snapshot_query();
     let (status, body) = call(entry, client, Document::Revision, head, CALL_TIME).await?;
-    let snapshot = entry.dialect.snapshot(status, &body);
+    let snapshot = entry.dialect.parse_snapshot(status, &body);
     snapshot.map_err(CallError::InvalidResponse)
 }
 
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -144,7 +144,7 @@
 ) -> Result<WatchResult, CallError> {
     let reading = Reading::begin(entry, Document::Changes, None);
     let (status, body) = finish(entry, client, reading, begun).await?;
-    let watched = entry.dialect.watched(status, &body);
+    let watched = entry.dialect.parse_watch(status, &body);
     watched.map_err(CallError::InvalidResponse)
 }
 
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -60,7 +60,9 @@
 fn page(items: &[Value]) -> violetline::direct::dialect::Page {
     let body = json!({"items": items, "has_more": false, "current_rev": 99});
     let body = body.to_string();
-    Platform.page(StatusCode::OK, body.as_bytes()).unwrap()
+    Platform
+        .parse_page(StatusCode::OK, body.as_bytes())
+        .unwrap()
 }
 
 #[test]
@@ -110,7 +112,7 @@
 fn takes_the_place() {
     let event = item("servers/a", "{}", 8);
     let body = json!({"events": [event], "current_rev": 8}).to_string();
-    let watched = Platform.watched(StatusCode::OK, body.as_bytes());
+    let watched = Platform.parse_watch(StatusCode::OK, body.as_bytes());
     let Ok(WatchResult::Changes(changes, 8)) = watched else {
         panic!("changes up to 8");
     };
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -284,12 +284,12 @@
 #[test]
 fn refusals_written() {
     let id = HeaderValue::from_static("9");
-    let status = |refusal| Platform.refusal(refusal, Some(&id)).status.as_u16();
+    let status = |refusal| Platform.error_response(refusal, Some(&id)).status.as_u16();
     assert_eq!(status(Refusal::Unknown), 502);
     assert_eq!(status(Refusal::TimeOver), 504);
     assert_eq!(status(Refusal::NoRoute), 404);
     assert_eq!(status(Refusal::NoKey), 401);
-    let not_run = Platform.refusal(Refusal::NotRun(Millis(250)), Some(&id));
+    let not_run = Platform.error_response(Refusal::NotRun(Millis(250)), Some(&id));
     assert_eq!(not_run.status.as_u16(), 503);
     assert_eq!(not_run.headers.get("retry-after").unwrap(), "0.250");
     assert_eq!(not_run.headers.get("x-request-id").unwrap(), "9");
@@ -327,7 +327,7 @@
 fn read_catalog(text: &[u8]) -> Result<Box<Catalog>, InvalidResponse> {
     let value = STANDARD.encode(text);
     let body = json!({"key": "op/config", "value": value}).to_string();
-    let read = Platform.catalog(StatusCode::OK, body.as_bytes());
+    let read = Platform.parse_catalog(StatusCode::OK, body.as_bytes());
     read.map(|catalog| catalog.expect("there is one"))
 }
 
@@ -383,7 +383,7 @@
         "has_more": true, "current_rev": 9
     });
     let page = Platform
-        .page(StatusCode::OK, body.to_string().as_bytes())
+        .parse_page(StatusCode::OK, body.to_string().as_bytes())
         .unwrap();
     assert_eq!(page.current, 9);
     assert_eq!(page.next.as_deref(), Some("servers/i-3"));
@@ -416,7 +416,7 @@
         "current_rev": 12
     });
     let watched = Platform
-        .watched(StatusCode::OK, body.to_string().as_bytes())
+        .parse_watch(StatusCode::OK, body.to_string().as_bytes())
         .unwrap();
     let WatchResult::Changes(changes, 12) = watched else {
         panic!("changes up to 12");
@@ -428,20 +428,20 @@
     };
     assert!(matches!(&changes[1], StoreUpdate::Change(change) if *change == gone));
     assert_eq!(changes.len(), 2);
-    let history = Platform.watched(StatusCode::GONE, b"");
+    let history = Platform.parse_watch(StatusCode::GONE, b"");
     assert!(matches!(history, Ok(WatchResult::HistoryGone)));
 }
 
 #[test]
 fn store_refuses() {
-    let busy = Platform.page(StatusCode::SERVICE_UNAVAILABLE, b"{}");
+    let busy = Platform.parse_page(StatusCode::SERVICE_UNAVAILABLE, b"{}");
     assert_eq!(busy, Err(InvalidResponse::Status(503)));
     assert!(matches!(
-        Platform.page(StatusCode::OK, b"{"),
+        Platform.parse_page(StatusCode::OK, b"{"),
         Err(InvalidResponse::Body(_))
     ));
     assert!(matches!(
-        Platform.catalog(StatusCode::NOT_FOUND, b""),
+        Platform.parse_catalog(StatusCode::NOT_FOUND, b""),
         Ok(None)
     ));
 }
@@ -451,9 +451,9 @@
 fn any_body() {
     arbtest::arbtest(|u| {
         let body: Vec<u8> = u.arbitrary()?;
-        let _ = Platform.watched(StatusCode::OK, &body);
-        let _ = Platform.page(StatusCode::OK, &body);
-        let _ = Platform.catalog(StatusCode::OK, &body);
+        let _ = Platform.parse_watch(StatusCode::OK, &body);
+        let _ = Platform.parse_page(StatusCode::OK, &body);
+        let _ = Platform.parse_catalog(StatusCode::OK, &body);
         let _ = read_catalog(&body);
         Ok(())
     });
