--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -40,7 +40,7 @@
 impl Job<'_> {
     /// Nothing ran anywhere, and nothing will.
     pub(super) async fn give_up(&self, answerer: &mut Answerer, why: RefusalReason) -> bool {
-        if self.position.get().begun {
+        if self.position.get().head_sent {
             return self.broken();
         }
         let why = match why {
@@ -138,7 +138,7 @@
 
     /// It may have run.
     pub(super) async fn lost(&self, answerer: &mut Answerer) -> bool {
-        if self.position.get().begun {
+        if self.position.get().head_sent {
             return self.broken();
         }
         self.log_ended(RequestOutcome::Unknown, 502);
@@ -147,7 +147,7 @@
 
     /// Its time is over.
     pub(super) async fn time_over(&self, answerer: &mut Answerer) -> bool {
-        if self.position.get().begun {
+        if self.position.get().head_sent {
             return self.broken();
         }
         if !self.sent {
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -186,7 +186,7 @@
         let position = self.position.get();
         match self.route().repeat {
             RepeatPolicy::Once => false,
-            RepeatPolicy::Harmless if !position.begun => true,
+            RepeatPolicy::Harmless if !position.head_sent => true,
             RepeatPolicy::Harmless => self.is_resumable() && position.last_event.is_some(),
         }
     }
--- a/src/direct/relay.rs
+++ b/src/direct/relay.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StreamPosition {
     /// Whether the response's head has been sent.
-    pub begun: bool,
+    pub head_sent: bool,
     /// Number of the last event that was sent.
     pub last_event: Option<u64>,
 }
@@ -121,15 +121,15 @@
         if reader.is_oversize() {
             return Err(RelayError::Endpoint);
         }
-        if !bytes.is_empty() || (is_last && !at.begun) {
-            let written = if at.begun {
+        if !bytes.is_empty() || (is_last && !at.head_sent) {
+            let written = if at.head_sent {
                 answerer.send_chunk(bytes).await
             } else {
                 answerer.start_stream(begin(), bytes, close).await
             };
             written.map_err(|_| RelayError::Caller)?;
             sent();
-            at.begun = true;
+            at.head_sent = true;
             at.last_event = reader.last().or(at.last_event);
             position.set(at);
         }
