--- a/src/cli.rs
+++ b/src/cli.rs
@@ -248,8 +248,8 @@
         found = true;
         println!("{}", path.display());
         print!("{}", explanation.text);
-        if explanation.unreadable > 0 {
-            println!("{} lines are no decisions", explanation.unreadable);
+        if explanation.unparsed_lines > 0 {
+            println!("{} lines are no decisions", explanation.unparsed_lines);
         }
     }
     anyhow::ensure!(found, "no log holds the request {id}");
--- a/src/direct/decision.rs
+++ b/src/direct/decision.rs
@@ -411,7 +411,7 @@
 
 /// One line of the log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// Wall time, in ms since the Unix epoch.
     pub at: Millis,
     /// Time since the process started, in ms; monotonic, and it includes time in which the machine
@@ -428,7 +428,7 @@
 /// Output for lines; a write must not block.
 pub type LineWriter = Box<dyn Write>;
 /// Returns how many lines the writer has dropped so far because its reader was too slow.
-pub type DropCount = Box<dyn Fn() -> u64>;
+pub type DropCounter = Box<dyn Fn() -> u64>;
 
 /// Numbers of lines in the current second.
 #[derive(Debug, Default)]
@@ -443,7 +443,7 @@
 pub struct DecisionLog {
     clock: Clock,
     writer: RefCell<LineWriter>,
-    writer_drop_count: DropCount,
+    writer_drop_count: DropCounter,
     counts: LineCounts,
 }
 
@@ -455,7 +455,7 @@
 
 impl DecisionLog {
     /// Creates a log on a writer that must not block.
-    pub fn new(clock: Clock, writer: LineWriter, writer_drop_count: DropCount) -> Self {
+    pub fn new(clock: Clock, writer: LineWriter, writer_drop_count: DropCounter) -> Self {
         Self {
             clock,
             writer: RefCell::new(writer),
@@ -504,7 +504,7 @@
             return;
         }
         written.set(written.get() + 1);
-        let line = Line {
+        let line = LogLine {
             at: self.clock.wall(),
             up: self.clock.now(),
             request,
--- a/src/direct/explain.rs
+++ b/src/direct/explain.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use crate::clock::Millis;
-use crate::direct::decision::{Decision, Line, RefusalReason};
+use crate::direct::decision::{Decision, LogLine, RefusalReason};
 
 /// How long before a request's first line a change of state is still shown: some reads of the
 /// store.
@@ -18,7 +18,7 @@
     /// `*`; times are relative to its first line.
     pub text: String,
     /// Number of lines of the log that are not decisions, such as those of a stack trace.
-    pub unreadable: usize,
+    pub unparsed_lines: usize,
 }
 
 /// Collects the lines about a request, and about changes of state that may have influenced it, from
@@ -26,15 +26,15 @@
 ///
 /// Lines may have a prefix before their JSON, as log collectors add one.
 pub fn explain(log: &str, id: &str) -> Option<Explanation> {
-    let mut unreadable = 0;
+    let mut unparsed_lines = 0;
     let mut lines = Vec::new();
     for text in log.lines().filter(|text| !text.trim().is_empty()) {
         match parse_line(text) {
             Some(line) => lines.push(line),
-            None => unreadable += 1,
+            None => unparsed_lines += 1,
         }
     }
-    let about = |line: &&Line| line.request.as_deref() == Some(id);
+    let about = |line: &&LogLine| line.request.as_deref() == Some(id);
     let first = lines.iter().find(about)?.up;
     let last = lines.iter().rev().find(about)?.up;
     let endpoints: BTreeSet<&str> = lines.iter().filter(about).filter_map(endpoint).collect();
@@ -63,17 +63,20 @@
             );
         }
     }
-    Some(Explanation { text, unreadable })
+    Some(Explanation {
+        text,
+        unparsed_lines,
+    })
 }
 
 /// Parses a line from its first brace on; `None` where it is not a decision.
-fn parse_line(text: &str) -> Option<Line> {
+fn parse_line(text: &str) -> Option<LogLine> {
     let from = text.find('{')?;
     serde_json::from_str(&text[from..]).ok()
 }
 
 /// Identity of the endpoint that a line about a request names; `None` for other lines.
-fn endpoint(line: &Line) -> Option<&str> {
+fn endpoint(line: &LogLine) -> Option<&str> {
     match &line.decision {
         Decision::Placed { endpoint, .. }
         | Decision::AttemptFailed { endpoint, .. }
@@ -83,7 +86,7 @@
 }
 
 /// Digest of what the request of a line asks for; `None` where the line does not contain it.
-fn fingerprint(line: &Line) -> Option<String> {
+fn fingerprint(line: &LogLine) -> Option<String> {
     match &line.decision {
         Decision::AttemptFailed { fingerprint, .. } if !fingerprint.is_empty() => {
             Some(fingerprint.clone())
@@ -109,7 +112,7 @@
 }
 
 /// Whether a line reports that no endpoint accepted a request.
-fn found_no_endpoint(line: &Line) -> bool {
+fn found_no_endpoint(line: &LogLine) -> bool {
     match &line.decision {
         Decision::Refused { why, .. } => matches!(
             why,
@@ -123,7 +126,7 @@
 
 /// Whether a line reports that one of these endpoints (any endpoint, with `any`) wants no requests
 /// or limits their rate. Such lines are shown however old they are.
-fn reports_announcement(line: &Line, endpoints: &BTreeSet<&str>, any: bool) -> bool {
+fn reports_announcement(line: &LogLine, endpoints: &BTreeSet<&str>, any: bool) -> bool {
     match &line.decision {
         Decision::EndpointAnnounced { endpoint, .. }
         | Decision::EndpointLimited { endpoint, .. } => {
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -133,7 +133,7 @@
     log.request(b"9c41", ended("i-1", RequestOutcome::Unknown));
     let noise = format!("not a line\n  12.5 front-1 {}", memory.text());
     let explanation = explain(&noise, "9c41").unwrap();
-    assert_eq!(explanation.unreadable, 1);
+    assert_eq!(explanation.unparsed_lines, 1);
     insta::assert_snapshot!(explanation.text);
     assert_eq!(explain(&noise, "9c42"), None);
 }
