--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -137,7 +137,7 @@
         let settings = self.settings.borrow();
         let own = settings.link.ip();
         let has_others = settings.seeds.iter().any(|seed| seed.ip() != own);
-        let excess = settings.bounds.warm_up();
+        let excess = settings.bounds.warm_up_excess();
         let sharers = self.fleet.get().sharers(now - self.started, has_others);
         Some(warmup::share(
             warm_up,
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -259,7 +259,7 @@
     /// Counts the request in the pool's retry budget.
     fn count_first(&self) {
         let now = self.entry.clock.now();
-        let allowance = self.entry.settings.borrow().bounds.retries();
+        let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
         window.first(now, allowance);
@@ -273,7 +273,7 @@
 
     /// Whether the retry budget of all entries allows one more; counts it.
     fn take_retry(&self, now: Millis) -> bool {
-        let allowance = self.entry.settings.borrow().bounds.retries();
+        let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let entries = self.entry.peers.borrow().entries(now);
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -101,7 +101,7 @@
     }
 
     /// The retry budget of a pool, over all entries.
-    pub fn retries(&self) -> Allowance {
+    pub fn retry_budget(&self) -> Allowance {
         Allowance {
             window: Millis(self.retry_window_ms),
             ratio: self.retry_ratio,
@@ -111,7 +111,7 @@
 
     /// How many requests endpoints may get while they warm up, relative to the rate in the
     /// configuration.
-    pub fn warm_up(&self) -> Excess {
+    pub fn warm_up_excess(&self) -> Excess {
         Excess {
             ratio: self.warm_up_ratio,
             extra: self.warm_up_extra,
