--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -209,7 +209,7 @@
     fn catalog_query(&self) -> RequestHead;
     /// Parses the response to [`Dialect::catalog_query`]; `None` where there is no configuration
     /// yet.
-    fn catalog(
+    fn parse_catalog(
         &self,
         status: StatusCode,
         body: &[u8],
