--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -1,4 +1,5 @@
-//! The decision log: its bound, its lines, and the way back from an id to a cause.
+//! The decision log: the limits on its lines, their format, and `explain`, which finds the cause of
+//! a request's outcome from its id.
 
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -13,9 +14,9 @@
 use violetline::fingerprint::Fingerprint;
 
 #[derive(Clone, Default)]
-struct Memory(Rc<RefCell<Vec<u8>>>);
+struct SharedBuffer(Rc<RefCell<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.borrow_mut().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -26,17 +27,17 @@
     }
 }
 
-impl Memory {
+impl SharedBuffer {
     fn text(&self) -> String {
         String::from_utf8(self.0.borrow().clone()).unwrap()
     }
 }
 
-fn log() -> (Clock, Memory, DecisionLog) {
+fn log() -> (Clock, SharedBuffer, DecisionLog) {
     let clock = Clock::manual(Millis(1_000));
-    let memory = Memory::default();
-    let log = DecisionLog::new(clock.clone(), Box::new(memory.clone()), Box::new(|| 3));
-    (clock, memory, log)
+    let output = SharedBuffer::default();
+    let log = DecisionLog::new(clock.clone(), Box::new(output.clone()), Box::new(|| 3));
+    (clock, output, log)
 }
 
 fn placed(endpoint: &str) -> Decision {
@@ -79,24 +80,24 @@
 }
 
 #[test]
-fn lines_bounded() {
-    let (_, memory, log) = log();
+fn lines_limited() {
+    let (_, output, log) = log();
     for _ in 0..1_000 {
         log.request(b"1", placed("i-1"));
     }
     log.request(b"2", ended("i-1", RequestOutcome::Unknown));
-    let text = memory.text();
+    let text = output.text();
     assert_eq!(text.lines().count(), 301);
     assert!(text.lines().last().unwrap().contains("\"unknown\""));
     log.next_second();
-    let told = memory.text();
-    let last = told.lines().last().unwrap();
+    let after_second = output.text();
+    let last = after_second.lines().last().unwrap();
     assert!(
         last.contains("\"served\":700") && last.contains("\"writer\":3"),
         "{last}"
     );
     log.request(b"3", placed("i-1"));
-    assert!(memory
+    assert!(output
         .text()
         .lines()
         .last()
@@ -106,7 +107,7 @@
 
 #[test]
 fn cause_of_unknown() {
-    let (clock, memory, log) = log();
+    let (clock, output, log) = log();
     let listed = |endpoint: &str| Decision::EndpointListed {
         endpoint: endpoint.into(),
         standing: "removed".into(),
@@ -131,16 +132,16 @@
     };
     log.request(b"9c41", failed);
     log.request(b"9c41", ended("i-1", RequestOutcome::Unknown));
-    let noise = format!("not a line\n  12.5 front-1 {}", memory.text());
-    let explanation = explain(&noise, "9c41").unwrap();
+    let mixed_log = format!("not a line\n  12.5 front-1 {}", output.text());
+    let explanation = explain(&mixed_log, "9c41").unwrap();
     assert_eq!(explanation.unparsed_lines, 1);
     insta::assert_snapshot!(explanation.text);
-    assert_eq!(explain(&noise, "9c42"), None);
+    assert_eq!(explain(&mixed_log, "9c42"), None);
 }
 
 #[test]
 fn cause_of_refusal() {
-    let (clock, memory, log) = log();
+    let (clock, output, log) = log();
     let store = |answers| Decision::Store {
         answers,
         why: "no answer in time".into(),
@@ -157,31 +158,32 @@
         free_endpoints: None,
     };
     log.request(b"9c41", refused);
-    insta::assert_snapshot!(explain(&memory.text(), "9c41").unwrap().text);
+    insta::assert_snapshot!(explain(&output.text(), "9c41").unwrap().text);
 }
 
-/// From the id of a repeat to the ends that speak against it, however long ago, at whatever endpoint.
+/// `explain` of a refused repeat shows the endpoints that ended under earlier requests of the same
+/// fingerprint, however long ago that was.
 #[test]
-fn cause_of_ends() {
-    let (clock, memory, log) = log();
-    let work = Fingerprint(0xbd89);
+fn cause_of_quarantine() {
+    let (clock, output, log) = log();
+    let repeated = Fingerprint(0xbd89);
     let end = |endpoint: &str, lost: &[Fingerprint]| Decision::EndpointEnded {
         endpoint: endpoint.into(),
         sign: EndSign::Refused,
         lost: lost.iter().map(ToString::to_string).collect(),
     };
-    log.state_change(end("i-1", &[Fingerprint(1), work]));
+    log.state_change(end("i-1", &[Fingerprint(1), repeated]));
     log.state_change(end("i-2", &[Fingerprint(1)]));
     clock.advance(Millis(300));
     log.state_change(Decision::RequestRefused {
-        fingerprint: work.to_string(),
+        fingerprint: repeated.to_string(),
         ends: 3,
         for_ms: 600_000,
     });
     clock.advance(Millis(60_000));
     let refused = Decision::Refused {
         why: RefusalReason::EndsEndpoints {
-            fingerprint: work,
+            fingerprint: repeated,
             ends: 3,
             come_back_ms: 540_000,
         },
@@ -193,15 +195,16 @@
         free_endpoints: None,
     };
     log.request(b"9c41", refused);
-    let text = explain(&memory.text(), "9c41").unwrap().text;
+    let text = explain(&output.text(), "9c41").unwrap().text;
     assert_eq!(text.lines().count(), 3, "{text}");
     assert!(text.contains("endpoint=i-1") && !text.contains("endpoint=i-2"));
 }
 
-/// From the id of a request to what its endpoint had announced before.
+/// `explain` of a request shows what its endpoint had announced before; where no endpoint accepted
+/// the request, what any endpoint had announced.
 #[test]
-fn cause_of_rest() {
-    let (clock, memory, log) = log();
+fn cause_of_backoff() {
+    let (clock, output, log) = log();
     for endpoint in ["i-1", "i-2"] {
         log.state_change(Decision::EndpointAnnounced {
             endpoint: endpoint.into(),
@@ -212,7 +215,7 @@
     }
     clock.advance(Millis(20_000));
     log.request(b"9c41", placed("i-1"));
-    let text = explain(&memory.text(), "9c41").unwrap().text;
+    let text = explain(&output.text(), "9c41").unwrap().text;
     assert!(text.contains("announces=rests"), "{text}");
     assert!(text.contains("in_answer_to=9c40"), "{text}");
     assert!(!text.contains("endpoint=i-2"), "{text}");
@@ -226,17 +229,17 @@
         free_endpoints: Some(0),
     };
     log.request(b"9c42", refused);
-    let text = explain(&memory.text(), "9c42").unwrap().text;
+    let text = explain(&output.text(), "9c42").unwrap().text;
     assert!(
         text.contains("endpoint=i-1") && text.contains("endpoint=i-2"),
         "{text}"
     );
 }
 
-/// Failures of the most urgent requests are told also while others fail by hundreds.
+/// Failures of the most urgent requests are logged even while hundreds of others fail.
 #[test]
-fn urgent_failures() {
-    let (_, memory, log) = log();
+fn urgent_failures_logged() {
+    let (_, output, log) = log();
     let refused = |urgency| Decision::Refused {
         why: RefusalReason::EndpointRefused,
         target: "ficu95.example/lohu930/2f".into(),
@@ -250,5 +253,5 @@
         log.request(b"less", refused(1));
     }
     log.request(b"urgent", refused(0));
-    assert!(memory.text().contains("\"request\":\"urgent\""));
+    assert!(output.text().contains("\"request\":\"urgent\""));
 }
