--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints through its changes and outages.
+//! The directory of endpoints, through changes and outages of the platform's list.
 
 mod common;
 
@@ -20,7 +20,7 @@
     directory.get(key).map(|endpoint| endpoint.status)
 }
 
-fn with_one() -> Directory {
+fn directory_with_one_endpoint() -> Directory {
     let mut directory = Directory::default();
     directory.list_available(Millis(0));
     directory.apply(Change::Put(listed("a", 1)), Millis(0));
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn gone_at_once() {
-    let mut directory = with_one();
+fn removed_at_once() {
+    let mut directory = directory_with_one_endpoint();
     assert!(directory.apply(removed("a", 2), Millis(9_000)).is_some());
     assert_eq!(status(&directory, "a"), None);
 }
 
 #[test]
 fn draining_takes_nothing() {
-    let mut directory = with_one();
+    let mut directory = directory_with_one_endpoint();
     let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
@@ -49,12 +49,12 @@
 
 #[test]
 fn lapse_bridged() {
-    let mut directory = with_one();
+    let mut directory = directory_with_one_endpoint();
     directory.list_unavailable();
     assert!(directory.apply(removed("a", 2), Millis(100)).is_none());
     let key = directory.key("a").unwrap();
     assert!(directory.takes_work(key, Millis(100)));
-    // The grace runs from the return, however long the list was away.
+    // The grace starts when the list is available again, however long the outage was.
     assert!(directory.expire(Millis(60_000)).is_empty());
     directory.list_available(Millis(60_000));
     assert!(directory
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn lapse_ends() {
-    let mut directory = with_one();
+fn grace_ends() {
+    let mut directory = directory_with_one_endpoint();
     directory.list_unavailable();
     directory.list_available(Millis(5_000));
     assert!(directory.apply(removed("a", 2), Millis(5_100)).is_none());
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn draining_never_lapses() {
-    let mut directory = with_one();
+fn draining_removed_during_outage() {
+    let mut directory = directory_with_one_endpoint();
     let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 2)
@@ -89,7 +89,7 @@
 
 #[test]
 fn old_entry_ignored() {
-    let mut directory = with_one();
+    let mut directory = directory_with_one_endpoint();
     let draining = ListedEndpoint {
         draining: true,
         ..listed("a", 5)
@@ -102,7 +102,7 @@
 
 #[test]
 fn relisting_finds_missing() {
-    let mut directory = with_one();
+    let mut directory = directory_with_one_endpoint();
     directory.apply(Change::Put(listed("b", 2)), Millis(0));
     let gone = directory.replace(vec![listed("b", 2)], 3, Millis(9_000));
     assert_eq!(gone.len(), 1);
@@ -110,10 +110,11 @@
     assert_eq!(status(&directory, "b"), Some(EndpointStatus::Ready));
 }
 
-/// Pages are no snapshot: an entry that was written after the listing began is not missing.
+/// The pages of a listing are not a consistent snapshot: an entry that was written after the read
+/// began may be missing from it, but has not disappeared.
 #[test]
 fn newer_than_listing() {
-    let mut directory = with_one();
+    let mut directory = directory_with_one_endpoint();
     directory.apply(Change::Put(listed("b", 7)), Millis(0));
     assert!(directory
         .replace(vec![listed("a", 1)], 6, Millis(9_000))
@@ -121,9 +122,10 @@
     assert_eq!(status(&directory, "b"), Some(EndpointStatus::Ready));
 }
 
-/// Engines that had ended started again while the store was away, at the same address and under another id. The entries of
-/// their earlier lives had lapsed and counted as ready, so six requests meant for such a life reached the next one within
-/// 1.5 s of rest that it had asked for, each answered 421.
+/// Engines ended and were started again while the store was unavailable, at the same address but
+/// with another id. Their old entries had expired and still counted as ready, so six requests for
+/// an old id reached the new engine during a back-off of 1.5 s that it had asked for, and each was
+/// answered with 421.
 #[test]
 fn address_taken() {
     let mut directory = Directory::default();
@@ -132,7 +134,10 @@
     let key = directory.key("a").unwrap();
     directory.list_unavailable();
     assert_eq!(directory.apply(removed("a", 2), Millis(100)), None);
-    assert!(directory.takes_work(key, Millis(100)), "bridged");
+    assert!(
+        directory.takes_work(key, Millis(100)),
+        "in use during the outage"
+    );
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
     assert!(!directory.takes_work(key, Millis(200)));
@@ -140,7 +145,7 @@
     assert_eq!(directory.expire(Millis(300)), [key]);
 }
 
-/// The other order: the next life is listed before the entry of the earlier one goes.
+/// The reverse order: the new id is listed before the entry of the old one disappears.
 #[test]
 fn address_taken_before() {
     let mut directory = Directory::default();
@@ -152,7 +157,8 @@
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
 }
 
-/// An endpoint whose entry lapsed and is written again is ready, whoever was listed at its address meanwhile.
+/// An endpoint whose entry expired and is written again is ready, even if another endpoint was
+/// listed at its address meanwhile.
 #[test]
 fn written_again() {
     let mut directory = Directory::default();
