--- a/tests/direct_relay.rs
+++ b/tests/direct_relay.rs
@@ -1,4 +1,4 @@
-//! Cutting an endpoint's stream into events, also when it goes on at another endpoint.
+//! Splitting an endpoint's stream into events, also when it continues at another endpoint.
 
 use violetline::direct::relay::EventReader;
 
@@ -27,9 +27,9 @@
     assert_eq!(&reader.remainder()[..], b"data: x");
 }
 
-/// However the bytes are cut, the events that come out are the same.
+/// The same events come out, however the bytes are split into reads.
 #[test]
-fn any_cut() {
+fn any_split() {
     let text: Vec<u8> = (1..=9)
         .flat_map(|i| format!("id: {i}\ndata: {}\n\n", "x".repeat(i)).into_bytes())
         .collect();
