--- a/tests/direct_catalog.rs
+++ b/tests/direct_catalog.rs
@@ -1,4 +1,4 @@
-//! Look-ups in the catalog of a direct entry.
+//! Lookups in the catalog of a direct entry.
 
 mod common;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn key_holder() {
+fn team_of_key() {
     let catalog = catalog(1, Vec::new());
     let team = catalog.team("key-2").unwrap();
     assert_eq!(catalog.teams[team.0].name, "beam-ops");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn delicate_streams() {
+fn stream_pause_sensitivity() {
     let tight = events_route("tight", "/t/", Millis(250));
     let loose = events_route("loose", "/l/", Millis(1_000));
     let whole = route("whole", "/w/");
