--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -133,9 +133,9 @@
         if self.peers.values().all(|peer| self.is_near(peer)) {
             return OtherZone::None;
         }
-        match self.zones.is_heard(zone, now, self.zone_silence(now)) {
+        match self.zones.has_serving(zone, now, self.zone_silence(now)) {
             true => OtherZone::Serves,
-            false if self.zones.is_heard(zone, now, MISSED) => OtherZone::Silent,
+            false if self.zones.has_serving(zone, now, MISSED) => OtherZone::Silent,
             false => OtherZone::None,
         }
     }
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -28,7 +28,7 @@
     Tell, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, NEIGHBORS_PER_ROUND, REMOTES_PER_ROUND, ROUND_INTERVAL,
 };
 pub use self::zones::ZoneId;
-use self::zones::Zones;
+use self::zones::ZoneReports;
 use crate::clock::Millis;
 
 /// Addresses passed on in one datagram.
@@ -74,7 +74,7 @@
     /// The own availability zone; `None` where it is not known.
     zone: Option<ZoneId>,
     /// What entries of other zones told of these.
-    zones: Zones,
+    zones: ZoneReports,
     /// By address, so that rounds go through them in a steady order.
     peers: BTreeMap<SocketAddr, Peer>,
     /// Numbers of own datagrams and when they were sent, the newest last.
@@ -121,7 +121,7 @@
             own,
             link_mbps: 0,
             zone: None,
-            zones: Zones::default(),
+            zones: ZoneReports::default(),
             peers: BTreeMap::new(),
             sent: VecDeque::new(),
             number: u64::from(first_number) << 24,
@@ -238,7 +238,7 @@
         peer.link_mbps = hello.link_mbps;
         peer.zone = hello.zone;
         if let Some(zone) = hello.zone.filter(|zone| self.zone != Some(*zone)) {
-            self.zones.hear(zone, hello.zone_entries, now);
+            self.zones.record(zone, hello.zone_entries, now);
         }
         let asked = hello.echo.and_then(|number| self.sent_at(number));
         Heard {
@@ -252,7 +252,7 @@
     pub fn entries(&self, now: Millis) -> usize {
         let near = self.serving(now, |peer| self.is_near(peer));
         let is_large = self.peers.values().any(|peer| !self.is_near(peer));
-        let far = self.zones.heard(now, self.zone_silence(now));
+        let far = self.zones.entry_counts(now, self.zone_silence(now));
         1 + near + far.filter(|_| is_large).sum::<usize>()
     }
 
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -177,7 +177,7 @@
             .values()
             .filter(|peer| !self.is_near(peer))
             .count();
-        let zones = self.zones.heard(now, FORGET).count().max(1);
+        let zones = self.zones.entry_counts(now, FORGET).count().max(1);
         let tellers = (far / zones).max(1);
         Millis((ROUND_INTERVAL.0 as usize * far / (REMOTES_PER_ROUND * tellers)) as u64)
     }
--- a/src/direct/peers/zones.rs
+++ b/src/direct/peers/zones.rs
@@ -1,5 +1,5 @@
-//! Availability zones as cells: an entry hears those of its own zone one by one, and of each other zone
-//! a sum that any of its entries may tell.
+//! State of other availability zones. An entry tracks the entries of its own zone one by one, and
+//! of each other zone only a summary that any entry there may send.
 
 use std::collections::BTreeMap;
 
@@ -12,43 +12,53 @@
 pub struct ZoneId(u32);
 
 impl ZoneId {
-    /// The digest of a name; `None` where the name is empty.
+    /// Returns the digest of a name; `None` if the name is empty.
     pub fn of(name: &str) -> Option<Self> {
         let hash = blake3::hash(name.as_bytes());
-        let mut head = [0; 4];
-        head.copy_from_slice(&hash.as_bytes()[..4]);
-        (!name.is_empty()).then_some(Self(u32::from_be_bytes(head)))
+        let mut prefix = [0; 4];
+        prefix.copy_from_slice(&hash.as_bytes()[..4]);
+        (!name.is_empty()).then_some(Self(u32::from_be_bytes(prefix)))
     }
 }
 
-/// What entries of one other zone told last.
+/// The last report of a zone: when it came, and how many entries serve there.
 #[derive(Debug, Clone, Copy)]
-struct ZoneWord {
-    heard: Millis,
+struct ZoneReport {
+    reported_at: Millis,
     entries: u32,
 }
 
-/// What is known of the other zones.
+/// The last report of each other zone.
 #[derive(Debug, Default)]
-pub(super) struct Zones(BTreeMap<ZoneId, ZoneWord>);
+pub(super) struct ZoneReports(BTreeMap<ZoneId, ZoneReport>);
 
-impl Zones {
-    /// An entry of a zone told how many serve there.
-    pub(super) fn hear(&mut self, zone: ZoneId, entries: u32, now: Millis) {
-        let heard = now;
-        self.0.insert(zone, ZoneWord { heard, entries });
+impl ZoneReports {
+    /// Records how many entries serve in a zone, as one of them reported.
+    pub(super) fn record(&mut self, zone: ZoneId, entries: u32, now: Millis) {
+        let reported_at = now;
+        self.0.insert(
+            zone,
+            ZoneReport {
+                reported_at,
+                entries,
+            },
+        );
     }
 
-    /// Whether entries that serve in a zone were heard of within `silence`.
-    pub(super) fn is_heard(&self, zone: ZoneId, now: Millis, silence: Millis) -> bool {
-        let word = self.0.get(&zone);
-        word.is_some_and(|word| word.entries > 0 && now - word.heard < silence)
+    /// Whether a zone reported entries that serve within the last `silence`.
+    pub(super) fn has_serving(&self, zone: ZoneId, now: Millis, silence: Millis) -> bool {
+        let report = self.0.get(&zone);
+        report.is_some_and(|report| report.entries > 0 && now - report.reported_at < silence)
     }
 
-    /// Entries of the zones heard within `silence`, by zone.
-    pub(super) fn heard(&self, now: Millis, silence: Millis) -> impl Iterator<Item = usize> + '_ {
-        let words = self.0.values();
-        let fresh = words.filter(move |word| now - word.heard < silence);
-        fresh.map(|word| word.entries as usize)
+    /// Returns the number of serving entries of each zone that reported within the last `silence`.
+    pub(super) fn entry_counts(
+        &self,
+        now: Millis,
+        silence: Millis,
+    ) -> impl Iterator<Item = usize> + '_ {
+        let reports = self.0.values();
+        let fresh = reports.filter(move |report| now - report.reported_at < silence);
+        fresh.map(|report| report.entries as usize)
     }
 }
