--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -322,7 +322,7 @@
             prefixes.note(key, std::iter::once(placed.segment_id), now, now);
         }
         if hello.work_scope == WorkScope::Sender {
-            of_zone.hear(*placed, now);
+            of_zone.add_if_new(*placed, now);
         }
     }
 }
--- a/src/direct/peers/placements.rs
+++ b/src/direct/peers/placements.rs
@@ -1,4 +1,4 @@
-//! Prompts that this entry placed lately, for peers.
+//! Recent placements of prompts, to be sent to peers.
 
 use std::collections::VecDeque;
 
@@ -6,44 +6,45 @@
 
 use crate::clock::Millis;
 
-/// Placements that are remembered, the newest ones: two datagrams to another zone hold as many.
-const MOST_PLACED: usize = 24;
+/// Maximum number of placements that are remembered, the newest ones: as many as two datagrams to
+/// another zone hold.
+const MAX_PLACEMENTS: usize = 24;
 
-/// A prompt that was sent to an endpoint.
+/// Placement of a prompt: it was sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPlacement {
-    /// Its last shared part.
+    /// Id of the last part of the prompt that is shared with other prompts.
     pub segment_id: u64,
-    /// Digest of the endpoint's identity.
+    /// Digest of the endpoint's incarnation.
     pub endpoint: u32,
 }
 
-/// The newest placements, one a shared part.
+/// The newest placements with their times, the oldest first and one per part.
 #[derive(Debug, Default)]
 pub struct RecentPlacements(VecDeque<(Millis, PromptPlacement)>);
 
 impl RecentPlacements {
-    /// A prompt was sent to an endpoint.
-    pub fn add(&mut self, placed: PromptPlacement, now: Millis) {
+    /// Records a placement; it replaces an earlier one of the same part.
+    pub fn add(&mut self, placement: PromptPlacement, now: Millis) {
         self.0
-            .retain(|(_, other)| other.segment_id != placed.segment_id);
-        self.0.push_back((now, placed));
-        if self.0.len() > MOST_PLACED {
+            .retain(|(_, other)| other.segment_id != placement.segment_id);
+        self.0.push_back((now, placement));
+        if self.0.len() > MAX_PLACEMENTS {
             self.0.pop_front();
         }
     }
 
-    /// A peer placed a prompt; one that it tells again changes nothing.
-    pub fn hear(&mut self, placed: PromptPlacement, now: Millis) {
-        if self.0.iter().all(|(_, known)| *known != placed) {
-            self.add(placed, now);
+    /// Records a peer's placement. One that is known already keeps its time.
+    pub fn add_if_new(&mut self, placement: PromptPlacement, now: Millis) {
+        if self.0.iter().all(|(_, known)| *known != placement) {
+            self.add(placement, now);
         }
     }
 
-    /// The newest `most` of those since a time, the oldest first.
+    /// Returns the newest `most` of the placements since `from`, the oldest first.
     pub fn since(&self, from: Millis, most: usize) -> Vec<PromptPlacement> {
         let recent = self.0.iter().filter(|(at, _)| *at >= from);
         let recent = recent.skip(self.0.len().saturating_sub(most));
-        recent.map(|(_, placed)| *placed).collect()
+        recent.map(|(_, placement)| *placement).collect()
     }
 }
