--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -1,21 +1,22 @@
-//! Work on the wire: counts of tokens are told in blocks, rounded up, so that an endpoint takes 13 bytes
-//! instead of 22 and a whole zone's work fits a packet.
+//! Wire format of work at endpoints. Token counts are sent in blocks, rounded up, so that an
+//! endpoint takes 13 bytes instead of 22 and the work of a whole zone fits one packet.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::direct::load::{Work, BANDS};
 
-/// Tokens to read in a block.
+/// Prompt tokens per block, for `unread` and `pressure`.
 const UNREAD_BLOCK: u32 = 64;
-/// Tokens of memory in a block.
+/// Tokens of memory per block, for `held`.
 const HELD_BLOCK: u32 = 256;
-/// Hundredths of a delicate stream in a block.
+/// Hundredths of a stream per block, for `delicate`.
 const DELICATE_BLOCK: u32 = 4;
 
-/// Work at one endpoint, in blocks.
+/// Work at one endpoint; the token counts and `delicate` are in blocks.
 #[derive(Serialize, Deserialize)]
-struct Blocks {
-    /// Digest of the endpoint's identity: evenly spread, so that a fixed length is the shortest.
+struct CompactWork {
+    /// Digest of the endpoint's incarnation. Its values are evenly spread, so a fixed length is
+    /// shorter than bincode's variable one.
     endpoint: [u8; 4],
     running: u32,
     unread: [u32; BANDS],
@@ -24,8 +25,8 @@
     pressure: u32,
 }
 
-impl Blocks {
-    fn of(endpoint: u32, work: &Work) -> Self {
+impl CompactWork {
+    fn from_work(endpoint: u32, work: &Work) -> Self {
         Self {
             endpoint: endpoint.to_be_bytes(),
             running: work.running,
@@ -36,12 +37,12 @@
         }
     }
 
-    fn work(&self) -> (u32, Work) {
+    fn to_work(&self) -> (u32, Work) {
         let work = Work {
             running: self.running,
             unread: self
                 .unread
-                .map(|blocks| blocks.saturating_mul(UNREAD_BLOCK)),
+                .map(|compact| compact.saturating_mul(UNREAD_BLOCK)),
             held: self.held.saturating_mul(HELD_BLOCK),
             delicate: self.delicate.saturating_mul(DELICATE_BLOCK),
             pressure: self.pressure.saturating_mul(UNREAD_BLOCK),
@@ -50,21 +51,21 @@
     }
 }
 
-/// Writes work at endpoints.
+/// Serializes work at endpoints, by their digests.
 pub(super) fn serialize<S: Serializer>(
     work: &[(u32, Work)],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
-    let blocks = work
+    let compact = work
         .iter()
-        .map(|(endpoint, work)| Blocks::of(*endpoint, work));
-    serializer.collect_seq(blocks)
+        .map(|(endpoint, work)| CompactWork::from_work(*endpoint, work));
+    serializer.collect_seq(compact)
 }
 
-/// Reads work at endpoints.
+/// Deserializes work at endpoints, by their digests.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<(u32, Work)>, D::Error> {
-    let blocks = Vec::<Blocks>::deserialize(deserializer)?;
-    Ok(blocks.iter().map(Blocks::work).collect())
+    let compact = Vec::<CompactWork>::deserialize(deserializer)?;
+    Ok(compact.iter().map(CompactWork::to_work).collect())
 }
