--- a/src/direct/peers/alert.rs
+++ b/src/direct/peers/alert.rs
@@ -1,29 +1,30 @@
-//! What an entry tells peers of requests under suspicion, in datagrams of their own: there are none on most days, and
-//! entries that don't know them drop them.
+//! Notices about suspect requests, as they are sent to peers. They have datagrams of their own,
+//! since there are none on most days, and entries that don't know the format drop them.
 
 use crate::quarantine::{Notice, MOST_NOTICES};
 
 use super::MAX_DATAGRAM_BYTES;
 
-/// First byte of such a datagram; no [`super::GossipMessage`] begins with it, since bincode never writes it first in a number.
-const MARK: u8 = 0xff;
+/// First byte of a datagram of notices. No [`super::GossipMessage`] begins with it, since bincode
+/// never writes it as the first byte of a number.
+const NOTICE_MARKER: u8 = 0xff;
 
-/// Writes a datagram; `None` where there is nothing to tell.
+/// Encodes at most [`MOST_NOTICES`] notices; `None` if there are none.
 pub fn encode_notices(notices: &[Notice]) -> Option<Vec<u8>> {
-    let told = &notices[..notices.len().min(MOST_NOTICES)];
-    if told.is_empty() {
+    let sent = &notices[..notices.len().min(MOST_NOTICES)];
+    if sent.is_empty() {
         return None;
     }
-    let mut bytes = vec![MARK];
+    let mut bytes = vec![NOTICE_MARKER];
     let config = bincode::config::standard();
-    bytes.extend(bincode::serde::encode_to_vec(told, config).ok()?);
+    bytes.extend(bincode::serde::encode_to_vec(sent, config).ok()?);
     Some(bytes)
 }
 
-/// Reads a datagram; `None` when it is none of these.
+/// Decodes a datagram of notices; `None` if it is of another kind.
 pub fn decode_notices(bytes: &[u8]) -> Option<Vec<Notice>> {
-    let text = bytes.strip_prefix(&[MARK])?;
+    let payload = bytes.strip_prefix(&[NOTICE_MARKER])?;
     let config = bincode::config::standard().with_limit::<MAX_DATAGRAM_BYTES>();
-    let (notices, read) = bincode::serde::decode_from_slice(text, config).ok()?;
-    (read == text.len()).then_some(notices)
+    let (notices, read_bytes) = bincode::serde::decode_from_slice(payload, config).ok()?;
+    (read_bytes == payload.len()).then_some(notices)
 }
