--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -234,7 +234,7 @@
         peer.heard = Some(now);
         peer.last_number = hello.number;
         peer.leaving = hello.leaving;
-        peer.watches = watchers::is_in_touch(hello);
+        peer.watches = watchers::has_store_contact(hello);
         peer.link_mbps = hello.link_mbps;
         peer.zone = hello.zone;
         if let Some(zone) = hello.zone.filter(|zone| self.zone != Some(*zone)) {
--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -58,7 +58,7 @@
     let peers = entry.peers.borrow();
     match now - started {
         age if age < FIND_PEERS => false,
-        age if age < LINE_UP => peers.is_first_in_line(now),
+        age if age < LINE_UP => peers.ranks_as_watcher(now),
         _ => peers.should_watch(now),
     }
 }
