--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -14,7 +14,8 @@
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
 use crate::direct::peers::{
-    self, GossipMessage, Tell, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, ROUND_INTERVAL,
+    self, GossipMessage, GossipTarget, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES,
+    ROUND_INTERVAL,
 };
 use crate::quarantine::{Notice, MOST_NOTICES};
 
@@ -128,7 +129,7 @@
     }
     let source = entry.peers.borrow().proof_source(rand::random());
     if let Some(to) = source {
-        let tell = Tell {
+        let tell = GossipTarget {
             to,
             work_scope: WorkScope::Nothing,
         };
@@ -197,7 +198,7 @@
 
 /// Answers a peer that asks for a proof.
 async fn answer(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
-    let tell = Tell {
+    let tell = GossipTarget {
         to,
         work_scope: WorkScope::Nothing,
     };
@@ -206,7 +207,7 @@
 }
 
 /// What this entry tells one peer now.
-fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
+fn hello_for(entry: &Entry, tell: GossipTarget, now: Millis) -> GossipMessage {
     let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
     let since = book.placements_since(tell.work_scope, now);
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -97,7 +97,7 @@
     /// Notes whether other entries serve than in the last round, and whether this one still does.
     pub fn update_serving_peers(&mut self, is_leaving: bool, now: Millis) {
         let serving = self.serving_peers(now);
-        let near = serving.filter(|(_, peer)| self.is_near(peer));
+        let near = serving.filter(|(_, peer)| self.is_neighbor(peer));
         let serving: BTreeSet<SocketAddr> = near.map(|(address, _)| address).collect();
         if serving != self.deciding || is_leaving != self.is_leaving {
             self.note_missed(&serving, now);
@@ -126,11 +126,11 @@
         };
         let mut near = self
             .serving_peers(now)
-            .filter(|(_, peer)| self.is_near(peer));
+            .filter(|(_, peer)| self.is_neighbor(peer));
         if near.any(|(_, peer)| peer.zone == Some(zone)) {
             return OtherZone::Serves;
         }
-        if self.peers.values().all(|peer| self.is_near(peer)) {
+        if self.peers.values().all(|peer| self.is_neighbor(peer)) {
             return OtherZone::None;
         }
         match self.zones.has_serving(zone, now, self.zone_silence(now)) {
@@ -157,9 +157,9 @@
 
     /// The peers that serve, as far as known: neighbours are heard often, others seldom.
     fn serving_peers(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let silence = SILENCE.max(Millis(self.near_cycle().0 * SILENCE_TURNS));
+        let silence = SILENCE.max(Millis(self.neighbor_cycle().0 * SILENCE_TURNS));
         let is_heard = move |peer: &Peer| {
-            let is_fresh = |at: Millis| !self.is_near(peer) || now < at + silence;
+            let is_fresh = |at: Millis| !self.is_neighbor(peer) || now < at + silence;
             peer.heard.is_some_and(is_fresh)
         };
         let peers = self.peers.iter().map(|(address, peer)| (*address, peer));
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -25,7 +25,8 @@
 };
 pub use self::placements::{PromptPlacement, RecentPlacements};
 pub use self::rounds::{
-    Tell, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, NEIGHBORS_PER_ROUND, REMOTES_PER_ROUND, ROUND_INTERVAL,
+    GossipTarget, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, NEIGHBORS_PER_ROUND, REMOTES_PER_ROUND,
+    ROUND_INTERVAL,
 };
 pub use self::zones::ZoneId;
 use self::zones::ZoneReports;
@@ -82,23 +83,23 @@
     /// Number of the last own datagram.
     number: u64,
     /// Neighbours, as of the last round.
-    near_count: usize,
+    neighbor_count: usize,
     /// Peers of other zones, as of the last round.
-    far_count: usize,
+    remote_count: usize,
     /// Position of the next round among the neighbours.
-    near_turn: usize,
+    neighbor_cursor: usize,
     /// Its position among the entries of other zones.
-    far_turn: usize,
+    remote_cursor: usize,
     /// Its position among those that watch the store in other zones.
-    watcher_turn: usize,
+    watcher_cursor: usize,
     /// Position among the neighbours of what is told at once.
-    near_at_once: usize,
+    immediate_neighbor_cursor: usize,
     /// Its position among the entries of other zones.
-    far_at_once: usize,
+    immediate_remote_cursor: usize,
     /// Bytes of the last datagram to a neighbour.
-    near_bytes: usize,
+    mean_neighbor_bytes: usize,
     /// Bytes of the last datagram to another zone.
-    far_bytes: usize,
+    mean_remote_bytes: usize,
     /// Position of the next address to pass on.
     told: usize,
     /// Neighbours that served in the last round, and may decide for endpoints.
@@ -125,16 +126,16 @@
             peers: BTreeMap::new(),
             sent: VecDeque::new(),
             number: u64::from(first_number) << 24,
-            near_count: 0,
-            far_count: 0,
-            near_turn: 0,
+            neighbor_count: 0,
+            remote_count: 0,
+            neighbor_cursor: 0,
             // The entries of a zone begin at different places, so that together they tell all others.
-            far_turn: first_number as usize,
-            watcher_turn: 0,
-            near_at_once: 0,
-            far_at_once: first_number as usize,
-            near_bytes: 0,
-            far_bytes: 0,
+            remote_cursor: first_number as usize,
+            watcher_cursor: 0,
+            immediate_neighbor_cursor: 0,
+            immediate_remote_cursor: first_number as usize,
+            mean_neighbor_bytes: 0,
+            mean_remote_bytes: 0,
             told: 0,
             deciding: BTreeSet::new(),
             missed: BTreeMap::new(),
@@ -221,7 +222,7 @@
             self.meet(*other, now);
         }
         self.meet(from, now);
-        let silence = self.new_after();
+        let silence = self.new_peer_silence();
         let Some(peer) = self.peers.get_mut(&from) else {
             return Heard::default();
         };
@@ -250,8 +251,8 @@
     /// Entries that serve, this one included: those heard one by one, and those of other zones as
     /// these tell.
     pub fn entries(&self, now: Millis) -> usize {
-        let near = self.serving(now, |peer| self.is_near(peer));
-        let is_large = self.peers.values().any(|peer| !self.is_near(peer));
+        let near = self.serving(now, |peer| self.is_neighbor(peer));
+        let is_large = self.peers.values().any(|peer| !self.is_neighbor(peer));
         let far = self.zones.entry_counts(now, self.zone_silence(now));
         1 + near + far.filter(|_| is_large).sum::<usize>()
     }
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -1,11 +1,14 @@
-//! Who is told what, how often, and at what bound.
+//! Gossip rounds: which peers are sent what, how often, and within which limits.
 //!
-//! All peers of the own availability zone are told the own work in turn; entries of other zones, in turn as
-//! well, are told the sum of the zone's work. Each of a zone's entries tells others, so that every
-//! entry hears of each other zone about as often as of a neighbour. In a fleet small enough to be told
-//! whole in each round all entries are neighbours, whatever their zones. What is told of work in a round is
-//! bounded by bytes, whatever the size of the fleet: with larger datagrams fewer peers are told. Proofs
-//! between watchers and answers to questions come on top, a hundred bytes each.
+//! Every peer of the own availability zone (a neighbor) is sent the own work in turn. Entries of
+//! other zones (remote entries) are sent the sum of the own zone's work, in turn as well. The
+//! entries of a zone send to different remote entries, so every entry hears from each other zone
+//! about as often as from a neighbor. In a fleet that is small enough to be reached whole in each
+//! round all entries are neighbors, whatever their zones.
+//!
+//! The bytes spent on work in a round are limited, whatever the size of the fleet: with larger
+//! datagrams fewer peers are reached. Proofs between watchers and replies to peers that ask for one
+//! come on top, a hundred bytes each.
 
 use std::net::SocketAddr;
 
@@ -14,185 +17,206 @@
 
 /// Time between two rounds of datagrams.
 pub const ROUND_INTERVAL: Millis = Millis(150);
-/// Neighbours told in one round, at most.
+/// Maximum number of neighbors that are sent to in one round.
 pub const NEIGHBORS_PER_ROUND: usize = 7;
-/// Fewest neighbours told in one round, however large the datagrams.
+/// Minimum number of neighbors that are sent to in one round, however large the datagrams.
 const MIN_NEIGHBORS_PER_ROUND: usize = 2;
-/// Entries of other zones told in one round: with five zones of twenty entries each zone is heard every
-/// 0.3 s.
+/// Remote entries that are sent to in one round. With five zones of twenty entries each zone is
+/// heard every 0.3 s.
 pub const REMOTES_PER_ROUND: usize = 2;
-/// Bytes that an instance may spend on control in a round: 28 KB a second.
+/// Bytes that an instance may spend on control traffic in a round: 28 KB a second.
 pub const MAX_ROUND_BYTES: usize = (28 << 10) * ROUND_INTERVAL.0 as usize / 1_000;
-/// Longest datagram to another zone, in bytes: with headers one packet on any path.
+/// Longest datagram to a remote entry, in bytes: with headers it fits one packet on any path.
 pub const MAX_REMOTE_BYTES: usize = 1_400;
-/// Entries that watch the store in other zones and are told the own proof in each round, at most.
-const WATCHERS_TOLD: usize = 4;
-/// Silence after which a neighbour no longer counts as an entry, in a small fleet.
-const SILENCE: Millis = Millis(4_000);
-/// Turns of telling all neighbours, or of hearing a zone, in which one must be heard.
-const SILENCE_TURNS: u64 = 6;
-/// Silence after which an address is forgotten unless it is a seed, in a small fleet.
-const FORGET: Millis = Millis(20_000);
-/// Time after which a peer's word on its work no longer counts, in a small fleet: some rounds.
-const WORD: Millis = Millis(1_500);
-/// Turns after which it no longer counts.
-const WORD_TURNS: u64 = 3;
-/// Turns for which a placement is told.
-const PLACED_TURNS: u64 = 2;
-/// Turns for which what was learned of requests under suspicion is told.
-const NOTICE_TURNS: u64 = 2;
-/// Weight of earlier datagrams in the mean of their bytes, against 1 for the newest.
-const BYTES_WEIGHT: usize = 7;
-
-/// One datagram of a round.
+/// Maximum number of remote entries that watch the store and are sent the own proof in each round.
+const MAX_WATCHERS_PER_ROUND: usize = 4;
+/// Minimum silence after which a neighbor, or what a zone reported, no longer counts; longer in a
+/// large fleet, see [`SILENCE_CYCLES`].
+const MIN_SILENCE: Millis = Millis(4_000);
+/// The same limit, in cycles through all neighbors (or times in which a zone is heard once).
+const SILENCE_CYCLES: u64 = 6;
+/// Minimum silence after which an address is dropped unless it is a seed; longer in a large fleet.
+const MIN_FORGET_TIME: Millis = Millis(20_000);
+/// Minimum time for which a peer's report of its work counts: some rounds. Longer in a large fleet,
+/// see [`REPORT_TTL_CYCLES`].
+const MIN_REPORT_TTL: Millis = Millis(1_500);
+/// Cycles for which a report of work counts.
+const REPORT_TTL_CYCLES: u64 = 3;
+/// Cycles for which a placement is sent.
+const PLACEMENT_CYCLES: u64 = 2;
+/// Cycles for which a notice about a suspect request is sent.
+const NOTICE_CYCLES: u64 = 2;
+/// Weight of earlier datagrams in the running mean of their sizes, against 1 for the newest.
+const MEAN_BYTES_WEIGHT: usize = 7;
+
+/// One message to send in a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tell {
+pub struct GossipTarget {
     /// The receiver.
     pub to: SocketAddr,
-    /// Whose work it is told.
+    /// Whose work the message reports.
     pub work_scope: WorkScope,
 }
 
 impl PeerTable {
-    /// The peers to tell in this round; `watches` says whether this entry watches the store.
-    pub fn round(&mut self, watches: bool, now: Millis) -> Vec<Tell> {
+    /// Starts a round: drops peers that fell silent and returns the messages to send. `watches`
+    /// says whether this entry watches the store.
+    pub fn round(&mut self, watches: bool, now: Millis) -> Vec<GossipTarget> {
         self.forget_silent(now);
-        let near = self.addresses(|book, peer| book.is_near(peer));
-        let far = self.addresses(|book, peer| !book.is_near(peer));
-        (self.near_count, self.far_count) = (near.len(), far.len());
-        let tells = |work_scope| move |to| Tell { to, work_scope };
-        let most = self.near_per_round();
-        let told = take_turn(&near, &mut self.near_turn, most);
-        let mut round: Vec<Tell> = told.into_iter().map(tells(WorkScope::Sender)).collect();
-        let told = take_turn(&far, &mut self.far_turn, REMOTES_PER_ROUND);
-        round.extend(told.into_iter().map(tells(WorkScope::Zone)));
+        let neighbors = self.addresses(|book, peer| book.is_neighbor(peer));
+        let remotes = self.addresses(|book, peer| !book.is_neighbor(peer));
+        (self.neighbor_count, self.remote_count) = (neighbors.len(), remotes.len());
+        let to_target = |work_scope| move |to| GossipTarget { to, work_scope };
+        let most = self.neighbors_per_round();
+        let selected = next_in_rotation(&neighbors, &mut self.neighbor_cursor, most);
+        let mut round: Vec<GossipTarget> = selected
+            .into_iter()
+            .map(to_target(WorkScope::Sender))
+            .collect();
+        let selected = next_in_rotation(&remotes, &mut self.remote_cursor, REMOTES_PER_ROUND);
+        round.extend(selected.into_iter().map(to_target(WorkScope::Zone)));
         if watches {
-            // Proofs pass between the zones' watchers, so that the store is asked once for all.
-            let watchers = self.addresses(|book, peer| peer.watches && !book.is_near(peer));
-            let told = take_turn(&watchers, &mut self.watcher_turn, WATCHERS_TOLD);
-            round.extend(told.into_iter().map(tells(WorkScope::Nothing)));
+            // Watchers of different zones exchange proofs, so that the store is asked once for all.
+            let watchers = self.addresses(|book, peer| peer.watches && !book.is_neighbor(peer));
+            let selected =
+                next_in_rotation(&watchers, &mut self.watcher_cursor, MAX_WATCHERS_PER_ROUND);
+            round.extend(selected.into_iter().map(to_target(WorkScope::Nothing)));
         }
         round
     }
 
-    /// A datagram of a round took this many bytes; the next rounds keep the bound.
+    /// Records the size of a datagram that was sent in a round, by which later rounds keep within
+    /// [`MAX_ROUND_BYTES`].
     pub fn record_sent_bytes(&mut self, work_scope: WorkScope, bytes: usize) {
         match work_scope {
-            WorkScope::Sender => self.near_bytes = mean_bytes(self.near_bytes, bytes),
-            WorkScope::Zone => self.far_bytes = mean_bytes(self.far_bytes, bytes),
+            WorkScope::Sender => {
+                self.mean_neighbor_bytes = mean_bytes(self.mean_neighbor_bytes, bytes)
+            }
+            WorkScope::Zone => self.mean_remote_bytes = mean_bytes(self.mean_remote_bytes, bytes),
             WorkScope::Nothing => {}
         }
     }
 
-    /// Mean time for which what another entry does stays unseen here; 0 without peers.
+    /// Mean time until what another entry does is known here; 0 without peers.
     pub fn blind(&self, now: Millis) -> Millis {
-        let near = self.near_cycle();
-        let turns = near + self.zone_interval(now);
-        Millis(turns.0 / 2)
+        let neighbor_cycle = self.neighbor_cycle();
+        let delay = neighbor_cycle + self.zone_interval(now);
+        Millis(delay.0 / 2)
     }
 
-    /// Time since which placements are told: some turns, so that lost datagrams are made up for. In a
-    /// fleet of one cell all that are remembered: nobody passes them on, and parts of prompts would be read again.
+    /// Returns the time since which placements are sent: some cycles back, so that a lost datagram
+    /// is made up for. In a fleet without remote entries it is 0, so all remembered placements are
+    /// sent: nobody forwards them there, and an endpoint would read parts of prompts again that
+    /// another one holds.
     pub fn placements_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
-        if self.far_count == 0 {
+        if self.remote_count == 0 {
             return Millis(0);
         }
-        let turn = match work_scope {
-            WorkScope::Sender | WorkScope::Nothing => self.near_cycle(),
-            WorkScope::Zone => self.near_cycle() + self.zone_interval(now),
+        let cycle = match work_scope {
+            WorkScope::Sender | WorkScope::Nothing => self.neighbor_cycle(),
+            WorkScope::Zone => self.neighbor_cycle() + self.zone_interval(now),
         };
-        now - Millis(turn.0 * PLACED_TURNS)
+        now - Millis(cycle.0 * PLACEMENT_CYCLES)
     }
 
-    /// Time since which what was learned of requests under suspicion is told in a round: two turns, so that a lost datagram
-    /// is made up for. Peers pass it on in theirs.
+    /// Returns the time since which notices about suspect requests are sent in a round: two cycles
+    /// back, so that a lost datagram is made up for. Peers forward notices in their own rounds.
     pub fn notices_since(&self, work_scope: WorkScope, now: Millis) -> Millis {
-        let turn = match work_scope {
-            WorkScope::Sender | WorkScope::Nothing => self.near_cycle(),
-            WorkScope::Zone => self.near_cycle() + self.zone_interval(now),
+        let cycle = match work_scope {
+            WorkScope::Sender | WorkScope::Nothing => self.neighbor_cycle(),
+            WorkScope::Zone => self.neighbor_cycle() + self.zone_interval(now),
         };
-        now - Millis(turn.0.max(ROUND_INTERVAL.0) * NOTICE_TURNS)
+        now - Millis(cycle.0.max(ROUND_INTERVAL.0) * NOTICE_CYCLES)
     }
 
-    /// The peers to tell at once, between two rounds.
+    /// Returns the peers to send urgent notices to, between two rounds.
     pub fn immediate_targets(&mut self) -> Vec<SocketAddr> {
-        let near = self.addresses(|book, peer| book.is_near(peer));
-        let far = self.addresses(|book, peer| !book.is_near(peer));
-        let mut told = take_turn(&near, &mut self.near_at_once, NEIGHBORS_PER_ROUND);
-        told.extend(take_turn(&far, &mut self.far_at_once, REMOTES_PER_ROUND));
-        told
-    }
-
-    /// Time for which a neighbour's word on its work counts.
+        let neighbors = self.addresses(|book, peer| book.is_neighbor(peer));
+        let remotes = self.addresses(|book, peer| !book.is_neighbor(peer));
+        let mut selected = next_in_rotation(
+            &neighbors,
+            &mut self.immediate_neighbor_cursor,
+            NEIGHBORS_PER_ROUND,
+        );
+        selected.extend(next_in_rotation(
+            &remotes,
+            &mut self.immediate_remote_cursor,
+            REMOTES_PER_ROUND,
+        ));
+        selected
+    }
+
+    /// Time for which a neighbor's report of its work counts.
     pub fn neighbor_report_ttl(&self) -> Millis {
-        WORD.max(Millis(self.near_cycle().0 * WORD_TURNS))
+        MIN_REPORT_TTL.max(Millis(self.neighbor_cycle().0 * REPORT_TTL_CYCLES))
     }
 
-    /// Time for which a word on another zone's work counts.
+    /// Time for which a report of another zone's work counts.
     pub fn zone_report_ttl(&self, now: Millis) -> Millis {
-        let turn = self.near_cycle() + self.zone_interval(now);
-        WORD.max(Millis(turn.0 * WORD_TURNS))
+        let cycle = self.neighbor_cycle() + self.zone_interval(now);
+        MIN_REPORT_TTL.max(Millis(cycle.0 * REPORT_TTL_CYCLES))
     }
 
-    /// Whether a peer is told the own work, and told of one by one: it is of the own zone, or of one
-    /// that is not known, or the fleet is small.
-    pub(super) fn is_near(&self, peer: &Peer) -> bool {
+    /// Whether a peer is a neighbor, which is sent the own work and whose work is tracked by
+    /// itself: it is of the own zone or of an unknown one, or the fleet is small.
+    pub(super) fn is_neighbor(&self, peer: &Peer) -> bool {
         let is_small = self.peers.len() <= NEIGHBORS_PER_ROUND;
         let is_own = |zone| self.zone.is_none_or(|own| own == zone);
         is_small || peer.zone.is_none_or(is_own)
     }
 
-    /// Silence after which a neighbour no longer counts.
+    /// Silence after which a neighbor no longer counts as serving.
     pub(super) fn silence(&self) -> Millis {
-        SILENCE.max(Millis(self.near_cycle().0 * SILENCE_TURNS))
+        MIN_SILENCE.max(Millis(self.neighbor_cycle().0 * SILENCE_CYCLES))
     }
 
-    /// Silence after which a peer that is heard again counts as new: those of other zones are heard
-    /// one by one more seldom.
-    pub(super) fn new_after(&self) -> Millis {
-        let far = Millis(ROUND_INTERVAL.0 * self.far_count as u64);
-        self.silence().max(far)
+    /// Silence after which a peer that is heard again counts as new. Remote entries are heard one
+    /// by one more seldom, so it grows with their number.
+    pub(super) fn new_peer_silence(&self) -> Millis {
+        let remote_cycle = Millis(ROUND_INTERVAL.0 * self.remote_count as u64);
+        self.silence().max(remote_cycle)
     }
 
-    /// Silence after which what was told of another zone no longer counts.
+    /// Silence after which what was reported of another zone no longer counts.
     pub(super) fn zone_silence(&self, now: Millis) -> Millis {
-        let turn = self.near_cycle() + self.zone_interval(now);
-        SILENCE.max(Millis(turn.0 * SILENCE_TURNS))
+        let cycle = self.neighbor_cycle() + self.zone_interval(now);
+        MIN_SILENCE.max(Millis(cycle.0 * SILENCE_CYCLES))
     }
 
-    /// Time in which every neighbour is told once.
-    pub(super) fn near_cycle(&self) -> Millis {
-        let near = self
+    /// Time in which every neighbor is sent to once.
+    pub(super) fn neighbor_cycle(&self) -> Millis {
+        let neighbors = self
             .peers
             .values()
-            .filter(|peer| self.is_near(peer))
+            .filter(|peer| self.is_neighbor(peer))
             .count();
-        Millis(ROUND_INTERVAL.0 * near.div_ceil(self.near_per_round()) as u64)
+        Millis(ROUND_INTERVAL.0 * neighbors.div_ceil(self.neighbors_per_round()) as u64)
     }
 
     /// Mean time between two datagrams from one other zone; 0 without other zones.
     fn zone_interval(&self, now: Millis) -> Millis {
-        let far = self
+        let remotes = self
             .peers
             .values()
-            .filter(|peer| !self.is_near(peer))
+            .filter(|peer| !self.is_neighbor(peer))
             .count();
-        let zones = self.zones.entry_counts(now, FORGET).count().max(1);
-        let tellers = (far / zones).max(1);
-        Millis((ROUND_INTERVAL.0 as usize * far / (REMOTES_PER_ROUND * tellers)) as u64)
+        let zones = self.zones.entry_counts(now, MIN_FORGET_TIME).count().max(1);
+        let senders = (remotes / zones).max(1);
+        Millis((ROUND_INTERVAL.0 as usize * remotes / (REMOTES_PER_ROUND * senders)) as u64)
     }
 
-    /// Neighbours told in one round, as far as the bound on bytes allows.
-    fn near_per_round(&self) -> usize {
-        let left = MAX_ROUND_BYTES.saturating_sub(REMOTES_PER_ROUND * self.far_bytes);
-        let most = left / self.near_bytes.max(1);
+    /// Neighbors that are sent to in one round, as the mean sizes of datagrams allow.
+    fn neighbors_per_round(&self) -> usize {
+        let left = MAX_ROUND_BYTES.saturating_sub(REMOTES_PER_ROUND * self.mean_remote_bytes);
+        let most = left / self.mean_neighbor_bytes.max(1);
         most.clamp(MIN_NEIGHBORS_PER_ROUND, NEIGHBORS_PER_ROUND)
     }
 
-    /// Forgets peers that have not been heard for some turns.
+    /// Drops peers other than seeds that have not been heard for some cycles through the whole
+    /// fleet.
     fn forget_silent(&mut self, now: Millis) {
-        let far = self.peers.len().div_ceil(REMOTES_PER_ROUND) as u64;
-        let forget = FORGET.max(Millis(ROUND_INTERVAL.0 * far * WORD_TURNS));
+        let rounds = self.peers.len().div_ceil(REMOTES_PER_ROUND) as u64;
+        let forget = MIN_FORGET_TIME.max(Millis(ROUND_INTERVAL.0 * rounds * REPORT_TTL_CYCLES));
         self.peers.retain(|_, peer| {
             let last = peer.heard.unwrap_or(peer.known_since);
             peer.is_seed || now - last < forget
@@ -206,15 +230,19 @@
     }
 }
 
-/// The next `most` of `all` after `turn`, which moves on.
-pub(super) fn take_turn(all: &[SocketAddr], turn: &mut usize, most: usize) -> Vec<SocketAddr> {
+/// Returns the next `most` of `all` from position `cursor` on, and advances the cursor.
+pub(super) fn next_in_rotation(
+    all: &[SocketAddr],
+    cursor: &mut usize,
+    most: usize,
+) -> Vec<SocketAddr> {
     let count = all.len().min(most);
-    let start = *turn;
-    *turn = turn.wrapping_add(count);
+    let start = *cursor;
+    *cursor = cursor.wrapping_add(count);
     (0..count).map(|i| all[(start + i) % all.len()]).collect()
 }
 
-/// The mean of the bytes of datagrams, with one more.
+/// Returns the running mean of datagram sizes after one more.
 fn mean_bytes(mean: usize, bytes: usize) -> usize {
-    (mean * BYTES_WEIGHT + bytes).div_ceil(BYTES_WEIGHT + 1)
+    (mean * MEAN_BYTES_WEIGHT + bytes).div_ceil(MEAN_BYTES_WEIGHT + 1)
 }
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -30,7 +30,7 @@
     /// rank before it are known to watch.
     pub fn should_watch(&self, now: Millis) -> bool {
         let own = watch_rank(self.own, self.link_mbps);
-        let watches = |peer: &Peer| self.is_near(peer) && self.is_live_watcher(peer, now);
+        let watches = |peer: &Peer| self.is_neighbor(peer) && self.is_live_watcher(peer, now);
         let before = self
             .peers
             .iter()
@@ -45,7 +45,7 @@
         let silence = self.silence();
         let is_heard = |peer: &Peer| peer.heard.is_some_and(|at| now - at < silence);
         let before = self.peers.iter().filter(|(address, peer)| {
-            self.is_near(peer) && is_heard(peer) && watch_rank(**address, peer.link_mbps) < own
+            self.is_neighbor(peer) && is_heard(peer) && watch_rank(**address, peer.link_mbps) < own
         });
         before.count() < self.wanted_watchers()
     }
@@ -56,7 +56,7 @@
         let watchers = |is_neighbor| {
             let peers = self.peers.iter();
             let watch = peers.filter(move |(_, peer)| {
-                self.is_near(peer) == is_neighbor && (peer.watches && !peer.leaving)
+                self.is_neighbor(peer) == is_neighbor && (peer.watches && !peer.leaving)
             });
             watch.map(|(address, _)| *address).collect::<Vec<_>>()
         };
@@ -68,7 +68,8 @@
     }
 
     fn is_live_watcher(&self, peer: &Peer, now: Millis) -> bool {
-        let silence = MIN_WATCHER_SILENCE + Millis(self.near_cycle().0 * WATCHER_TIMEOUT_CYCLES);
+        let silence =
+            MIN_WATCHER_SILENCE + Millis(self.neighbor_cycle().0 * WATCHER_TIMEOUT_CYCLES);
         let heard = peer.heard.is_some_and(|at| now - at < silence);
         heard && peer.watches && !peer.leaving
     }
@@ -78,7 +79,7 @@
         let neighbors = self
             .peers
             .values()
-            .filter(|peer| self.is_near(peer))
+            .filter(|peer| self.is_neighbor(peer))
             .count();
         if neighbors < self.peers.len() {
             return (neighbors + 1).div_ceil(ENTRIES_PER_ZONE_WATCHER);
