--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -1,8 +1,12 @@
-//! Which entry decides for an endpoint what no entry can decide alone.
+//! Which entry is the coordinator of an endpoint: the one that takes the decisions for it that must
+//! be taken in one place.
 //!
-//! Entries rank each other by a hash of address and endpoint, those of the endpoint's availability zone first: whoever is cut
-//! off from that zone can't reach the endpoint either. The first that serves is the coordinator. Only its own view counts, and
-//! the entries of one zone hear each other often; others ask by what they know and are told of the right one.
+//! Entries are ranked by a hash of their address and the endpoint. Those of the endpoint's
+//! availability zone come first, because an entry that is cut off from that zone can't reach the
+//! endpoint either. The highest-ranked entry that serves is the coordinator. Only an entry's own
+//! view decides whether it is one: entries of one zone hear each other often, while entries of
+//! other zones ask the one that they believe to be the coordinator and are redirected to the right
+//! one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,50 +15,57 @@
 use crate::clock::Millis;
 use crate::spread::spread;
 
-/// Silence after which an entry of the own zone no longer counts as a coordinator.
-const SILENCE: Millis = Millis(1_000);
-/// Turns of telling all neighbours in which one must be heard.
-const SILENCE_TURNS: u64 = 4;
-/// Time since the own start in which others may not have been heard yet.
-const FIND_PEERS: Millis = Millis(1_500);
-/// Entries that are assumed while there are others by the settings and none was ever heard.
-const UNSEEN_FLEET: f64 = 64.0;
-/// Time since the own start after which an entry that has heard no other is taken for the only one.
-const ALONE: Millis = Millis(10_000);
-/// Time for which a neighbour that fell silent may decide elsewhere, in another part of the fleet.
-const MISSED: Millis = Millis(60_000);
-/// Time without a change of who serves after which no other entry decides by an older view.
-const SETTLED: Millis = Millis(1_000);
+/// Minimum silence after which a neighbor can no longer be a coordinator; longer in a large zone,
+/// see [`COORDINATOR_TIMEOUT_CYCLES`].
+const MIN_COORDINATOR_SILENCE: Millis = Millis(1_000);
+/// The same limit, in cycles through all neighbors: one must be heard within as many.
+const COORDINATOR_TIMEOUT_CYCLES: u64 = 4;
+/// Time after the own start within which peers may not have been heard yet.
+const DISCOVERY_TIME: Millis = Millis(1_500);
+/// Size of the fleet that is assumed while the table holds peers of which none was ever heard.
+const ASSUMED_FLEET_SIZE: f64 = 64.0;
+/// Time after the own start after which an entry that has heard no peer takes itself for the only
+/// one.
+const ASSUME_ALONE_AFTER: Millis = Millis(10_000);
+/// Time for which a neighbor that fell silent may still be deciding in another part of a
+/// partitioned fleet.
+const PARTITION_MEMORY: Millis = Millis(60_000);
+/// Time without a change of the serving entries after which no other entry decides by an older
+/// view.
+const SETTLE_TIME: Millis = Millis(1_000);
 
-/// The entry that decides for an endpoint.
+/// The coordinator of an endpoint, as this entry sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Coordinator {
-    /// This one.
+    /// This entry.
     Own {
-        /// The part of the entries that it sees: others may decide for the rest, in another part of the fleet.
+        /// Share of the fleet that this entry sees, above 0 and at most 1: in another part of a
+        /// partitioned fleet others may decide for the rest.
         visible_share: f64,
-        /// Whether who serves has not changed lately.
+        /// Whether the set of serving entries has not changed for [`SETTLE_TIME`].
         is_settled: bool,
     },
-    /// A peer.
+    /// A peer, by its address.
     Peer(SocketAddr),
-    /// Not known yet.
+    /// Not known: peers are still being discovered, or the endpoint's zone has fallen silent.
     Unknown,
 }
 
-/// The entries of another zone.
-enum OtherZone {
-    /// There are none, or the zone is the own one.
+/// State of an endpoint's availability zone, where that is not the own one.
+enum OtherZoneState {
+    /// The zone has no entries, or it is the own one.
     None,
-    /// Some serve.
+    /// Some of its entries serve.
     Serves,
-    /// They fell silent lately: they decide on, in another part of the fleet, or have all ended.
+    /// Its entries fell silent within [`PARTITION_MEMORY`]: either they go on deciding in another
+    /// part of a partitioned fleet, or all have ended.
     Silent,
 }
 
 impl PeerTable {
-    /// The coordinator of an endpoint in a zone, at an entry that runs since `started`. Among the entries of another zone those
-    /// that `is_unanswered` are passed over; that never makes this entry the coordinator.
+    /// Returns the coordinator of `endpoint` in `zone`, for an entry that runs since `started`.
+    /// Entries of another zone for which `is_unanswered` holds are skipped; that never makes this
+    /// entry the coordinator.
     pub fn coordinator(
         &self,
         endpoint: u32,
@@ -64,84 +75,85 @@
         is_unanswered: impl Fn(SocketAddr) -> bool,
     ) -> Coordinator {
         let has_others = !self.peers.is_empty();
-        if has_others && now < started + FIND_PEERS {
+        if has_others && now < started + DISCOVERY_TIME {
             return Coordinator::Unknown;
         }
         match self.other_zone(zone, now) {
-            OtherZone::Serves => {
-                let of_zone = self.first(endpoint, now, &is_unanswered, |peer| peer.zone == zone);
-                return of_zone.map_or(Coordinator::Unknown, |(_, peer)| Coordinator::Peer(peer));
+            OtherZoneState::Serves => {
+                let in_zone =
+                    self.highest_ranked(endpoint, now, &is_unanswered, |peer| peer.zone == zone);
+                return in_zone.map_or(Coordinator::Unknown, |(_, peer)| Coordinator::Peer(peer));
             }
-            OtherZone::Silent => return Coordinator::Unknown,
-            OtherZone::None => {}
+            OtherZoneState::Silent => return Coordinator::Unknown,
+            OtherZoneState::None => {}
         }
         let wants_zone = zone.is_some() && zone == self.zone;
         let is_wanted = |peer: &Peer| !wants_zone || peer.zone == zone;
-        let peer = self.first(endpoint, now, &|_| false, is_wanted);
+        let peer = self.highest_ranked(endpoint, now, &|_| false, is_wanted);
         match peer {
-            Some((weight, peer)) if weight > weight_of(self.own, endpoint) => {
-                Coordinator::Peer(peer)
-            }
+            Some((rank, peer)) if rank > rank_of(self.own, endpoint) => Coordinator::Peer(peer),
             _ if self.is_leaving => {
-                let any = || self.first(endpoint, now, &|_| false, |_| true);
+                let any = || self.highest_ranked(endpoint, now, &|_| false, |_| true);
                 let peer = peer.or_else(any);
                 peer.map_or(Coordinator::Unknown, |(_, peer)| Coordinator::Peer(peer))
             }
             _ => Coordinator::Own {
                 visible_share: self.visible_share(started, now),
-                is_settled: now >= self.changed + SETTLED,
+                is_settled: now >= self.serving_changed_at + SETTLE_TIME,
             },
         }
     }
 
-    /// Notes whether other entries serve than in the last round, and whether this one still does.
+    /// Records which neighbors serve now, and whether this entry is stopping; done in each round.
     pub fn update_serving_peers(&mut self, is_leaving: bool, now: Millis) {
         let serving = self.serving_peers(now);
-        let near = serving.filter(|(_, peer)| self.is_neighbor(peer));
-        let serving: BTreeSet<SocketAddr> = near.map(|(address, _)| address).collect();
-        if serving != self.deciding || is_leaving != self.is_leaving {
-            self.note_missed(&serving, now);
-            self.deciding = serving;
+        let neighbors = serving.filter(|(_, peer)| self.is_neighbor(peer));
+        let serving: BTreeSet<SocketAddr> = neighbors.map(|(address, _)| address).collect();
+        if serving != self.serving_neighbors || is_leaving != self.is_leaving {
+            self.record_silent_neighbors(&serving, now);
+            self.serving_neighbors = serving;
             self.is_leaving = is_leaving;
-            self.changed = now;
+            self.serving_changed_at = now;
         }
     }
 
-    /// Notes the neighbours that fell silent without a word, and may decide in another part of the fleet.
-    fn note_missed(&mut self, serving: &BTreeSet<SocketAddr>, now: Millis) {
-        self.missed
-            .retain(|peer, at| !serving.contains(peer) && now < *at + MISSED);
-        let silent = self.deciding.difference(serving);
+    /// Records the neighbors that fell silent without saying that they stop, and may be deciding in
+    /// another part of a partitioned fleet.
+    fn record_silent_neighbors(&mut self, serving: &BTreeSet<SocketAddr>, now: Millis) {
+        self.silent_neighbors
+            .retain(|peer, at| !serving.contains(peer) && now < *at + PARTITION_MEMORY);
+        let silent = self.serving_neighbors.difference(serving);
         let is_leaving = |peer: &SocketAddr| self.peers.get(peer).is_some_and(|p| p.leaving);
-        let missed = silent
+        let silent_neighbors = silent
             .filter(|peer| !is_leaving(peer))
             .map(|peer| (*peer, now));
-        self.missed.extend(missed);
+        self.silent_neighbors.extend(silent_neighbors);
     }
 
-    /// What is known of the entries of an endpoint's zone, where that is another one.
-    fn other_zone(&self, zone: Option<ZoneId>, now: Millis) -> OtherZone {
+    /// Returns what is known of the entries of `zone` if it is not the own zone.
+    fn other_zone(&self, zone: Option<ZoneId>, now: Millis) -> OtherZoneState {
         let Some(zone) = zone.filter(|zone| self.zone != Some(*zone)) else {
-            return OtherZone::None;
+            return OtherZoneState::None;
         };
-        let mut near = self
+        let mut neighbors = self
             .serving_peers(now)
             .filter(|(_, peer)| self.is_neighbor(peer));
-        if near.any(|(_, peer)| peer.zone == Some(zone)) {
-            return OtherZone::Serves;
+        if neighbors.any(|(_, peer)| peer.zone == Some(zone)) {
+            return OtherZoneState::Serves;
         }
         if self.peers.values().all(|peer| self.is_neighbor(peer)) {
-            return OtherZone::None;
+            return OtherZoneState::None;
         }
         match self.zones.has_serving(zone, now, self.zone_silence(now)) {
-            true => OtherZone::Serves,
-            false if self.zones.has_serving(zone, now, MISSED) => OtherZone::Silent,
-            false => OtherZone::None,
+            true => OtherZoneState::Serves,
+            false if self.zones.has_serving(zone, now, PARTITION_MEMORY) => OtherZoneState::Silent,
+            false => OtherZoneState::None,
         }
     }
 
-    /// The first of the peers that serve and are wanted, with its weight.
-    fn first(
+    /// Returns the highest-ranked of the serving peers for which `is_wanted` holds and
+    /// `is_unanswered` doesn't, with its rank.
+    fn highest_ranked(
         &self,
         endpoint: u32,
         now: Millis,
@@ -151,13 +163,15 @@
         let serving = self.serving_peers(now);
         let wanted = serving.filter(|(address, peer)| is_wanted(peer) && !is_unanswered(*address));
         wanted
-            .map(|(address, _)| (weight_of(address, endpoint), address))
+            .map(|(address, _)| (rank_of(address, endpoint), address))
             .max()
     }
 
-    /// The peers that serve, as far as known: neighbours are heard often, others seldom.
+    /// The peers that serve, as far as known. Neighbors must have been heard lately, entries of
+    /// other zones only at some time, since they are heard seldom.
     fn serving_peers(&self, now: Millis) -> impl Iterator<Item = (SocketAddr, &Peer)> {
-        let silence = SILENCE.max(Millis(self.neighbor_cycle().0 * SILENCE_TURNS));
+        let silence = MIN_COORDINATOR_SILENCE
+            .max(Millis(self.neighbor_cycle().0 * COORDINATOR_TIMEOUT_CYCLES));
         let is_heard = move |peer: &Peer| {
             let is_fresh = |at: Millis| !self.is_neighbor(peer) || now < at + silence;
             peer.heard.is_some_and(is_fresh)
@@ -166,20 +180,25 @@
         peers.filter(move |(_, peer)| !peer.leaving && is_heard(peer))
     }
 
-    /// The part of the neighbours that are heard, of all that were heard lately and did not say that they stop.
+    /// Returns the share of the neighbors that is heard, of all that were heard lately and did not
+    /// say that they stop.
     fn visible_share(&self, started: Millis, now: Millis) -> f64 {
         let heard_any = self.peers.values().any(|peer| peer.heard.is_some());
-        if !heard_any && !self.peers.is_empty() && now < started + ALONE {
-            return 1.0 / UNSEEN_FLEET;
+        if !heard_any && !self.peers.is_empty() && now < started + ASSUME_ALONE_AFTER {
+            return 1.0 / ASSUMED_FLEET_SIZE;
         }
-        let missed = self.missed.values().filter(|at| now < **at + MISSED);
-        let seen = 1.0 + self.deciding.len() as f64;
-        seen / (seen + missed.count() as f64)
+        let silent_neighbors = self
+            .silent_neighbors
+            .values()
+            .filter(|at| now < **at + PARTITION_MEMORY);
+        let seen = 1.0 + self.serving_neighbors.len() as f64;
+        seen / (seen + silent_neighbors.count() as f64)
     }
 }
 
-/// The weight of an entry for an endpoint, by the digest of its life: the same at all entries.
-fn weight_of(entry: SocketAddr, endpoint: u32) -> u64 {
+/// Returns the rank of an entry for an endpoint (the endpoint's incarnation digest); all entries
+/// compute the same.
+fn rank_of(entry: SocketAddr, endpoint: u32) -> u64 {
     let ip = match entry {
         SocketAddr::V4(v4) => u64::from(u32::from(*v4.ip())),
         SocketAddr::V6(v6) => v6.ip().segments().iter().fold(0, |sum: u64, part| {
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -103,13 +103,13 @@
     /// Position of the next address to pass on.
     told: usize,
     /// Neighbours that served in the last round, and may decide for endpoints.
-    deciding: BTreeSet<SocketAddr>,
+    serving_neighbors: BTreeSet<SocketAddr>,
     /// Neighbours that fell silent without a word, and when.
-    missed: BTreeMap<SocketAddr, Millis>,
+    silent_neighbors: BTreeMap<SocketAddr, Millis>,
     /// Whether this entry stops, as of the last round.
     is_leaving: bool,
     /// When either changed last.
-    changed: Millis,
+    serving_changed_at: Millis,
 }
 
 impl PeerTable {
@@ -137,10 +137,10 @@
             mean_neighbor_bytes: 0,
             mean_remote_bytes: 0,
             told: 0,
-            deciding: BTreeSet::new(),
-            missed: BTreeMap::new(),
+            serving_neighbors: BTreeSet::new(),
+            silent_neighbors: BTreeMap::new(),
             is_leaving: false,
-            changed: Millis(0),
+            serving_changed_at: Millis(0),
         };
         book.set_seeds(seeds, Millis(0));
         book
