--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -274,7 +274,7 @@
     if hello.version <= entry.version() {
         entry.catalog_known_up_to(hello.catalog_revision);
     }
-    if let (Some(asked), Some(age)) = (heard.asked, hello.proof_age_ms) {
+    if let (Some(asked), Some(age)) = (heard.echoed_sent_at, hello.proof_age_ms) {
         if hello.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -174,7 +174,7 @@
             .max(Millis(self.neighbor_cycle().0 * COORDINATOR_TIMEOUT_CYCLES));
         let is_heard = move |peer: &Peer| {
             let is_fresh = |at: Millis| !self.is_neighbor(peer) || now < at + silence;
-            peer.heard.is_some_and(is_fresh)
+            peer.last_heard.is_some_and(is_fresh)
         };
         let peers = self.peers.iter().map(|(address, peer)| (*address, peer));
         peers.filter(move |(_, peer)| !peer.leaving && is_heard(peer))
@@ -183,7 +183,7 @@
     /// Returns the share of the neighbors that is heard, of all that were heard lately and did not
     /// say that they stop.
     fn visible_share(&self, started: Millis, now: Millis) -> f64 {
-        let heard_any = self.peers.values().any(|peer| peer.heard.is_some());
+        let heard_any = self.peers.values().any(|peer| peer.last_heard.is_some());
         if !heard_any && !self.peers.is_empty() && now < started + ASSUME_ALONE_AFTER {
             return 1.0 / ASSUMED_FLEET_SIZE;
         }
--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -1,9 +1,10 @@
-//! Other entries: found from a few seeds, heard by datagrams, and what they tell of themselves.
+//! Peers: the other entries of the fleet, found from a few seed addresses and tracked by the
+//! datagrams that they send.
 //!
-//! Each datagram carries the sender's configuration version with the age of its proof, its own
-//! work at each endpoint, and some addresses. Everything in it is soft: it counts less with age
-//! and a lost datagram is replaced by the next. It also echoes the number of the receiver's last
-//! datagram, so that the receiver can date the proof on its own clock (see
+//! Each datagram carries the sender's configuration version with the age of its freshness proof,
+//! its work at each endpoint, and some addresses of entries. All of it is soft state: it counts
+//! less with age, and a lost datagram is made up for by the next. A datagram also echoes the number
+//! of the receiver's last datagram, so that the receiver can date the proof on its own clock (see
 //! [`crate::direct::freshness`]).
 
 mod alert;
@@ -32,33 +33,33 @@
 use self::zones::ZoneReports;
 use crate::clock::Millis;
 
-/// Addresses passed on in one datagram.
-const TOLD: usize = 8;
-/// Own datagrams whose time of sending is remembered.
-const REMEMBERED: usize = 256;
+/// Maximum number of addresses shared in one datagram.
+const MAX_SHARED_ADDRESSES: usize = 8;
+/// Own datagrams whose times of sending are remembered, to date echoes.
+const MAX_SENT_TIMES: usize = 256;
 
-/// What follows from a datagram.
+/// What [`PeerTable::record_message`] found out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// The peer was silent or unknown before.
+pub struct Receipt {
+    /// Whether the peer was unknown, has been silent for long, or has restarted.
     pub is_new: bool,
-    /// When this process sent the datagram that the peer echoes.
-    pub asked: Option<Millis>,
+    /// When this process sent the datagram that the peer echoes; `None` where it doesn't know it.
+    pub echoed_sent_at: Option<Millis>,
 }
 
 /// What is known of a peer.
 #[derive(Debug, Clone, Copy)]
 struct Peer {
-    /// Its life; `None` before it was heard.
+    /// Its process's incarnation; `None` before it was heard.
     id: Option<PeerId>,
     /// When it was heard last.
-    heard: Option<Millis>,
+    last_heard: Option<Millis>,
     /// Number of its last datagram.
     last_number: u64,
     known_since: Millis,
     is_seed: bool,
     leaving: bool,
-    /// Whether it watches the store, by its last datagram, and is in touch with it.
+    /// Whether it watches the store and is not cut off from it, by its last datagram.
     watches: bool,
     /// Bandwidth of its link, in Mbit/s; 0 where it is not known.
     link_mbps: u32,
@@ -66,7 +67,7 @@
     zone: Option<ZoneId>,
 }
 
-/// All peers of one entry.
+/// All peers of one entry, and the state of its gossip rounds.
 #[derive(Debug)]
 pub struct PeerTable {
     own: SocketAddr,
@@ -74,89 +75,90 @@
     link_mbps: u32,
     /// The own availability zone; `None` where it is not known.
     zone: Option<ZoneId>,
-    /// What entries of other zones told of these.
+    /// What entries of other zones reported of their zones.
     zones: ZoneReports,
-    /// By address, so that rounds go through them in a steady order.
+    /// Peers by address, so that rounds go through them in a steady order.
     peers: BTreeMap<SocketAddr, Peer>,
     /// Numbers of own datagrams and when they were sent, the newest last.
-    sent: VecDeque<(u64, Millis)>,
+    sent_times: VecDeque<(u64, Millis)>,
     /// Number of the last own datagram.
     number: u64,
-    /// Neighbours, as of the last round.
+    /// Number of neighbors, as of the last round.
     neighbor_count: usize,
-    /// Peers of other zones, as of the last round.
+    /// Number of peers in other zones, as of the last round.
     remote_count: usize,
-    /// Position of the next round among the neighbours.
+    /// Position among the neighbors at which the next round begins.
     neighbor_cursor: usize,
-    /// Its position among the entries of other zones.
+    /// Position among the peers of other zones at which the next round begins.
     remote_cursor: usize,
-    /// Its position among those that watch the store in other zones.
+    /// Position among the peers of other zones that watch the store at which the next round begins.
     watcher_cursor: usize,
-    /// Position among the neighbours of what is told at once.
+    /// Position among the neighbors at which the next urgent notices begin.
     immediate_neighbor_cursor: usize,
-    /// Its position among the entries of other zones.
+    /// Position among the peers of other zones at which the next urgent notices begin.
     immediate_remote_cursor: usize,
-    /// Bytes of the last datagram to a neighbour.
+    /// Running mean of the sizes of datagrams to neighbors, in bytes.
     mean_neighbor_bytes: usize,
-    /// Bytes of the last datagram to another zone.
+    /// Running mean of the sizes of datagrams to other zones, in bytes.
     mean_remote_bytes: usize,
-    /// Position of the next address to pass on.
-    told: usize,
-    /// Neighbours that served in the last round, and may decide for endpoints.
+    /// Position of the next address to share.
+    address_cursor: usize,
+    /// Neighbors that served in the last round, and may be coordinators.
     serving_neighbors: BTreeSet<SocketAddr>,
-    /// Neighbours that fell silent without a word, and when.
+    /// Neighbors that fell silent without saying that they stop, and when.
     silent_neighbors: BTreeMap<SocketAddr, Millis>,
-    /// Whether this entry stops, as of the last round.
+    /// Whether this entry was stopping in the last round.
     is_leaving: bool,
-    /// When either changed last.
+    /// When `serving_neighbors` or `is_leaving` changed last.
     serving_changed_at: Millis,
 }
 
 impl PeerTable {
-    /// A book that holds the seeds.
+    /// A table that holds the seeds.
     ///
-    /// Numbers begin at a random one, so that an echo of an earlier life of this process is not
-    /// taken for one of this life.
+    /// Datagrams are numbered from a random start, so that an echo of an earlier incarnation of
+    /// this process is not taken for one of this incarnation.
     pub fn new(own: SocketAddr, seeds: &[SocketAddr], first_number: u32) -> Self {
-        let mut book = Self {
+        let mut table = Self {
             own,
             link_mbps: 0,
             zone: None,
             zones: ZoneReports::default(),
             peers: BTreeMap::new(),
-            sent: VecDeque::new(),
+            sent_times: VecDeque::new(),
             number: u64::from(first_number) << 24,
             neighbor_count: 0,
             remote_count: 0,
             neighbor_cursor: 0,
-            // The entries of a zone begin at different places, so that together they tell all others.
+            // The entries of a zone begin at different positions, so that together they reach all
+            // others.
             remote_cursor: first_number as usize,
             watcher_cursor: 0,
             immediate_neighbor_cursor: 0,
             immediate_remote_cursor: first_number as usize,
             mean_neighbor_bytes: 0,
             mean_remote_bytes: 0,
-            told: 0,
+            address_cursor: 0,
             serving_neighbors: BTreeSet::new(),
             silent_neighbors: BTreeMap::new(),
             is_leaving: false,
             serving_changed_at: Millis(0),
         };
-        book.set_seeds(seeds, Millis(0));
-        book
+        table.set_seeds(seeds, Millis(0));
+        table
     }
 
-    /// Tells the bandwidth of the own link, in Mbit/s.
+    /// Sets the bandwidth of the own link, in Mbit/s.
     pub fn set_link(&mut self, mbps: f64) {
         self.link_mbps = mbps as u32;
     }
 
-    /// Tells the own availability zone.
+    /// Sets the own availability zone; an empty name means that it is not known.
     pub fn set_zone(&mut self, name: &str) {
         self.zone = ZoneId::of(name);
     }
 
-    /// The own availability zone.
+    /// The own availability zone; `None` where it is not known.
     pub fn zone(&self) -> Option<ZoneId> {
         self.zone
     }
@@ -173,119 +175,123 @@
         }
         for seed in seeds {
             let address = SocketAddr::new(seed.ip(), self.own.port());
-            self.meet(address, now);
+            self.add_address(address, now);
             if let Some(peer) = self.peers.get_mut(&address) {
                 peer.is_seed = true;
             }
         }
     }
 
-    /// Numbers the next datagram and remembers when it is sent.
+    /// Returns the number of the next datagram, and remembers `now` as the time of sending it.
     pub fn next_number(&mut self, now: Millis) -> u64 {
         self.number += 1;
-        self.sent.push_back((self.number, now));
-        if self.sent.len() > REMEMBERED {
-            self.sent.pop_front();
+        self.sent_times.push_back((self.number, now));
+        if self.sent_times.len() > MAX_SENT_TIMES {
+            self.sent_times.pop_front();
         }
         self.number
     }
 
-    /// Number of the last datagram heard from an address, for the echo.
+    /// Returns the number of the last datagram from an address, to be echoed; `None` if none was
+    /// received.
     pub fn echo(&self, address: SocketAddr) -> Option<u64> {
         let peer = self.peers.get(&address)?;
-        peer.heard.map(|_| peer.last_number)
+        peer.last_heard.map(|_| peer.last_number)
     }
 
-    /// Some addresses to pass on, other than the receiver's own.
+    /// Returns the next addresses of live peers to share with `receiver`, without the receiver's
+    /// own.
     pub fn peer_addresses(&mut self, receiver: SocketAddr, now: Millis) -> Vec<SocketAddr> {
         let silence = self.silence();
         let heard = self.peers.iter().filter(|(address, peer)| {
-            **address != receiver && peer.heard.is_some_and(|at| now - at < silence)
+            **address != receiver && peer.last_heard.is_some_and(|at| now - at < silence)
         });
         let all: Vec<SocketAddr> = heard.map(|(address, _)| *address).collect();
-        let count = all.len().min(TOLD);
-        let start = self.told;
-        // A step of its own: with the step of the rounds, the same peers would be told the same
-        // addresses over and over.
-        self.told = self.told.wrapping_add(count + 1);
+        let count = all.len().min(MAX_SHARED_ADDRESSES);
+        let start = self.address_cursor;
+        // Advances by one more than was shared: by the step of the rounds, the same peers would be
+        // sent the same addresses over and over.
+        self.address_cursor = self.address_cursor.wrapping_add(count + 1);
         (0..count).map(|i| all[(start + i) % all.len()]).collect()
     }
 
-    /// Takes a datagram.
+    /// Updates the table from a datagram. One that was overtaken by a later one adds the addresses
+    /// that it shares, and nothing else.
     pub fn record_message(
         &mut self,
         from: SocketAddr,
-        hello: &GossipMessage,
+        message: &GossipMessage,
         now: Millis,
-    ) -> Heard {
-        for other in &hello.peer_addresses {
-            self.meet(*other, now);
+    ) -> Receipt {
+        for other in &message.peer_addresses {
+            self.add_address(*other, now);
         }
-        self.meet(from, now);
+        self.add_address(from, now);
         let silence = self.new_peer_silence();
         let Some(peer) = self.peers.get_mut(&from) else {
-            return Heard::default();
+            return Receipt::default();
         };
-        let was_heard = peer.heard.is_some_and(|at| now - at < silence);
-        let same_life = peer.id == Some(hello.from);
-        if same_life && hello.number < peer.last_number {
-            return Heard::default();
+        let was_heard = peer.last_heard.is_some_and(|at| now - at < silence);
+        let is_same_incarnation = peer.id == Some(message.from);
+        if is_same_incarnation && message.number < peer.last_number {
+            return Receipt::default();
         }
-        peer.id = Some(hello.from);
-        peer.heard = Some(now);
-        peer.last_number = hello.number;
-        peer.leaving = hello.leaving;
-        peer.watches = watchers::has_store_contact(hello);
-        peer.link_mbps = hello.link_mbps;
-        peer.zone = hello.zone;
-        if let Some(zone) = hello.zone.filter(|zone| self.zone != Some(*zone)) {
-            self.zones.record(zone, hello.zone_entries, now);
+        peer.id = Some(message.from);
+        peer.last_heard = Some(now);
+        peer.last_number = message.number;
+        peer.leaving = message.leaving;
+        peer.watches = watchers::has_store_contact(message);
+        peer.link_mbps = message.link_mbps;
+        peer.zone = message.zone;
+        if let Some(zone) = message.zone.filter(|zone| self.zone != Some(*zone)) {
+            self.zones.record(zone, message.zone_entries, now);
         }
-        let asked = hello.echo.and_then(|number| self.sent_at(number));
-        Heard {
-            is_new: !(was_heard && same_life),
-            asked,
+        let echoed_sent_at = message.echo.and_then(|number| self.sent_at(number));
+        Receipt {
+            is_new: !(was_heard && is_same_incarnation),
+            echoed_sent_at,
         }
     }
 
-    /// Entries that serve, this one included: those heard one by one, and those of other zones as
-    /// these tell.
+    /// Number of entries that serve, this one included: neighbors as they are heard, and other
+    /// zones' entries as their zones report them.
     pub fn entries(&self, now: Millis) -> usize {
-        let near = self.serving(now, |peer| self.is_neighbor(peer));
+        let neighbors = self.count_serving(now, |peer| self.is_neighbor(peer));
         let is_large = self.peers.values().any(|peer| !self.is_neighbor(peer));
-        let far = self.zones.entry_counts(now, self.zone_silence(now));
-        1 + near + far.filter(|_| is_large).sum::<usize>()
+        let remotes = self.zones.entry_counts(now, self.zone_silence(now));
+        1 + neighbors + remotes.filter(|_| is_large).sum::<usize>()
     }
 
-    /// Entries that serve in the own zone, this one included.
+    /// Number of entries that serve in the own zone, this one included.
     pub fn zone_entries(&self, now: Millis) -> u32 {
-        let count = 1 + self.serving(now, |peer| peer.zone == self.zone);
+        let count = 1 + self.count_serving(now, |peer| peer.zone == self.zone);
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Peers of a kind that are heard and serve.
-    fn serving(&self, now: Millis, wanted: impl Fn(&Peer) -> bool) -> usize {
+    /// Number of peers that serve, are heard and satisfy `wanted`.
+    fn count_serving(&self, now: Millis, wanted: impl Fn(&Peer) -> bool) -> usize {
         let silence = self.silence();
         let serves =
-            |peer: &&Peer| !peer.leaving && peer.heard.is_some_and(|at| now - at < silence);
+            |peer: &&Peer| !peer.leaving && peer.last_heard.is_some_and(|at| now - at < silence);
         let peers = self.peers.values().filter(serves);
         peers.filter(|peer| wanted(peer)).count()
     }
 
-    /// When an own datagram was sent; `None` when that was too long ago or in another life.
+    /// Returns when an own datagram was sent; `None` if that was too long ago or in another
+    /// incarnation.
     fn sent_at(&self, number: u64) -> Option<Millis> {
-        let found = self.sent.iter().find(|(n, _)| *n == number);
+        let found = self.sent_times.iter().find(|(n, _)| *n == number);
         found.map(|(_, at)| *at)
     }
 
-    /// Adds an address if it is new and another's.
-    fn meet(&mut self, address: SocketAddr, now: Millis) {
+    /// Adds an address unless it is known or the own one.
+    fn add_address(&mut self, address: SocketAddr, now: Millis) {
         if address == self.own {
             return;
         }
         self.peers.entry(address).or_insert(Peer {
             id: None,
-            heard: None,
+            last_heard: None,
             last_number: 0,
             known_since: now,
             is_seed: false,
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -218,7 +218,7 @@
         let rounds = self.peers.len().div_ceil(REMOTES_PER_ROUND) as u64;
         let forget = MIN_FORGET_TIME.max(Millis(ROUND_INTERVAL.0 * rounds * REPORT_TTL_CYCLES));
         self.peers.retain(|_, peer| {
-            let last = peer.heard.unwrap_or(peer.known_since);
+            let last = peer.last_heard.unwrap_or(peer.known_since);
             peer.is_seed || now - last < forget
         });
     }
--- a/src/direct/peers/watchers.rs
+++ b/src/direct/peers/watchers.rs
@@ -43,7 +43,7 @@
     pub fn ranks_as_watcher(&self, now: Millis) -> bool {
         let own = watch_rank(self.own, self.link_mbps);
         let silence = self.silence();
-        let is_heard = |peer: &Peer| peer.heard.is_some_and(|at| now - at < silence);
+        let is_heard = |peer: &Peer| peer.last_heard.is_some_and(|at| now - at < silence);
         let before = self.peers.iter().filter(|(address, peer)| {
             self.is_neighbor(peer) && is_heard(peer) && watch_rank(**address, peer.link_mbps) < own
         });
@@ -70,7 +70,7 @@
     fn is_live_watcher(&self, peer: &Peer, now: Millis) -> bool {
         let silence =
             MIN_WATCHER_SILENCE + Millis(self.neighbor_cycle().0 * WATCHER_TIMEOUT_CYCLES);
-        let heard = peer.heard.is_some_and(|at| now - at < silence);
+        let heard = peer.last_heard.is_some_and(|at| now - at < silence);
         heard && peer.watches && !peer.leaving
     }
 
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -226,10 +226,10 @@
     let mut book = PeerTable::new(address(1), &[address(2)], 7);
     let number = book.next_number(Millis(500));
     let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(900));
-    assert_eq!(heard.asked, Some(Millis(500)));
+    assert_eq!(heard.echoed_sent_at, Some(Millis(500)));
     assert!(heard.is_new);
     let heard = book.record_message(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
-    assert_eq!(heard.asked, None);
+    assert_eq!(heard.echoed_sent_at, None);
     assert!(!heard.is_new);
 }
 
@@ -241,7 +241,7 @@
     let mut book = PeerTable::new(address(1), &[], 8);
     book.next_number(Millis(10));
     let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(20));
-    assert_eq!(heard.asked, None);
+    assert_eq!(heard.echoed_sent_at, None);
 }
 
 #[test]
