--- a/src/direct/peers/mod.rs
+++ b/src/direct/peers/mod.rs
@@ -56,8 +56,11 @@
     last_heard: Option<Millis>,
     /// Number of its last datagram.
     last_number: u64,
+    /// When its address was learned.
     known_since: Millis,
+    /// Whether its address is a seed in the settings in force; seeds are never dropped.
     is_seed: bool,
+    /// Whether it said in its last datagram that it is stopping.
     leaving: bool,
     /// Whether it watches the store and is not cut off from it, by its last datagram.
     watches: bool,
@@ -70,6 +73,7 @@
 /// All peers of one entry, and the state of its gossip rounds.
 #[derive(Debug)]
 pub struct PeerTable {
+    /// Own address, at which peers send to this entry.
     own: SocketAddr,
     /// Bandwidth of the own link, in Mbit/s; 0 where it is not known.
     link_mbps: u32,
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -63,8 +63,8 @@
     /// says whether this entry watches the store.
     pub fn round(&mut self, watches: bool, now: Millis) -> Vec<GossipTarget> {
         self.forget_silent(now);
-        let neighbors = self.addresses(|book, peer| book.is_neighbor(peer));
-        let remotes = self.addresses(|book, peer| !book.is_neighbor(peer));
+        let neighbors = self.addresses(|table, peer| table.is_neighbor(peer));
+        let remotes = self.addresses(|table, peer| !table.is_neighbor(peer));
         (self.neighbor_count, self.remote_count) = (neighbors.len(), remotes.len());
         let to_target = |work_scope| move |to| GossipTarget { to, work_scope };
         let most = self.neighbors_per_round();
@@ -77,7 +77,7 @@
         round.extend(selected.into_iter().map(to_target(WorkScope::Zone)));
         if watches {
             // Watchers of different zones exchange proofs, so that the store is asked once for all.
-            let watchers = self.addresses(|book, peer| peer.watches && !book.is_neighbor(peer));
+            let watchers = self.addresses(|table, peer| peer.watches && !table.is_neighbor(peer));
             let selected =
                 next_in_rotation(&watchers, &mut self.watcher_cursor, MAX_WATCHERS_PER_ROUND);
             round.extend(selected.into_iter().map(to_target(WorkScope::Nothing)));
@@ -131,8 +131,8 @@
 
     /// Returns the peers to send urgent notices to, between two rounds.
     pub fn immediate_targets(&mut self) -> Vec<SocketAddr> {
-        let neighbors = self.addresses(|book, peer| book.is_neighbor(peer));
-        let remotes = self.addresses(|book, peer| !book.is_neighbor(peer));
+        let neighbors = self.addresses(|table, peer| table.is_neighbor(peer));
+        let remotes = self.addresses(|table, peer| !table.is_neighbor(peer));
         let mut selected = next_in_rotation(
             &neighbors,
             &mut self.immediate_neighbor_cursor,
