--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -17,7 +17,7 @@
     self, GossipMessage, GossipTarget, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES,
     ROUND_INTERVAL,
 };
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 /// Pause after an error of the socket.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -49,7 +49,7 @@
                 continue;
             }
         }
-        entry.judge();
+        entry.evaluate_suspects();
         entry.round_limits();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS;
@@ -92,11 +92,12 @@
     repeats: bool,
 ) {
     let now = entry.clock.now();
-    let notices = entry
-        .quarantine
-        .borrow()
-        .recent()
-        .since(since, repeats, MOST_NOTICES, now);
+    let notices =
+        entry
+            .quarantine
+            .borrow()
+            .recent()
+            .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
     send_alert(socket, to, &notices).await;
 }
 
@@ -166,7 +167,10 @@
                     let is_new = heard(&entry, from, &hello);
                     if is_new {
                         let now = entry.clock.now();
-                        let refused = entry.quarantine.borrow().refused_notices(MOST_NOTICES, now);
+                        let refused = entry
+                            .quarantine
+                            .borrow()
+                            .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
                         send_alert(&socket, from, &refused).await;
                     }
                     // A peer that is not known learns the zone of this entry at once, and so whom it
--- a/src/direct/peers/alert.rs
+++ b/src/direct/peers/alert.rs
@@ -1,7 +1,7 @@
 //! Notices about suspect requests, as they are sent to peers. They have datagrams of their own,
 //! since there are none on most days, and entries that don't know the format drop them.
 
-use crate::quarantine::{Notice, MOST_NOTICES};
+use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 use super::MAX_DATAGRAM_BYTES;
 
@@ -9,9 +9,9 @@
 /// never writes it as the first byte of a number.
 const NOTICE_MARKER: u8 = 0xff;
 
-/// Encodes at most [`MOST_NOTICES`] notices; `None` if there are none.
+/// Encodes at most [`MAX_NOTICES_PER_MESSAGE`] notices; `None` if there are none.
 pub fn encode_notices(notices: &[Notice]) -> Option<Vec<u8>> {
-    let sent = &notices[..notices.len().min(MOST_NOTICES)];
+    let sent = &notices[..notices.len().min(MAX_NOTICES_PER_MESSAGE)];
     if sent.is_empty() {
         return None;
     }
--- a/src/direct/peers/coordinator.rs
+++ b/src/direct/peers/coordinator.rs
@@ -13,7 +13,7 @@
 
 use super::{Peer, PeerTable, ZoneId};
 use crate::clock::Millis;
-use crate::spread::spread;
+use crate::mix_bits::mix_bits;
 
 /// Minimum silence after which a neighbor can no longer be a coordinator; longer in a large zone,
 /// see [`COORDINATOR_TIMEOUT_CYCLES`].
@@ -205,6 +205,6 @@
             sum.rotate_left(16).wrapping_add(u64::from(*part))
         }),
     };
-    let address = spread(ip ^ (u64::from(entry.port()) << 48));
-    spread(address ^ spread(u64::from(endpoint)))
+    let address = mix_bits(ip ^ (u64::from(entry.port()) << 48));
+    mix_bits(address ^ mix_bits(u64::from(endpoint)))
 }
--- a/src/quarantine/lives.rs
+++ b/src/quarantine/lives.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use super::case::DATING;
-use super::{Among, End, LifeDigest};
+use super::{EndpointEnd, IncarnationDigest, PoolSnapshot};
 use crate::clock::Millis;
 
 /// Time for which an endpoint that ended is taken to be down.
@@ -16,8 +16,8 @@
 #[derive(Debug, Clone, Copy)]
 struct EndedLife {
     at: Millis,
-    life: LifeDigest,
-    among: Option<Among>,
+    life: IncarnationDigest,
+    among: Option<PoolSnapshot>,
 }
 
 impl EndedLife {
@@ -41,7 +41,7 @@
 
 impl Lives {
     /// Remembers that an endpoint ended.
-    pub(super) fn note(&mut self, end: &End, among: Option<Among>) {
+    pub(super) fn note(&mut self, end: &EndpointEnd, among: Option<PoolSnapshot>) {
         if let Some(known) = self.ended.iter_mut().find(|e| e.life == end.endpoint) {
             known.among = known.among.or(among);
             return;
@@ -60,11 +60,11 @@
     /// run to its last one, an upper bound; `all` are the request's ends, those included that are not in the row.
     ///
     /// Only endpoints of the request's own pool count: it could not have been at any other.
-    pub(super) fn chance(&self, row: &[End], all: &[End]) -> f64 {
+    pub(super) fn chance(&self, row: &[EndpointEnd], all: &[EndpointEnd]) -> f64 {
         let (Some(first), Some(last)) = (row.first(), row.last()) else {
             return 1.0;
         };
-        let known: Vec<Among> = row.iter().filter_map(|end| self.among(end)).collect();
+        let known: Vec<PoolSnapshot> = row.iter().filter_map(|end| self.among(end)).collect();
         let pool = known.first().map(|among| among.pool);
         let fewest = known.iter().map(|among| among.endpoints).min();
         let others = self.ended.iter().filter(|e| {
@@ -82,13 +82,13 @@
     }
 
     /// The endpoints among which one was that ended.
-    fn among(&self, end: &End) -> Option<Among> {
+    fn among(&self, end: &EndpointEnd) -> Option<PoolSnapshot> {
         let mut ended = self.ended.iter();
         ended.find(|e| e.life == end.endpoint)?.among
     }
 
     /// Of so many endpoints, those that were up before an end, as far as is known: one of them has ended.
-    fn up_before(&self, end: &End, endpoints: usize, pool: Option<u32>) -> usize {
+    fn up_before(&self, end: &EndpointEnd, endpoints: usize, pool: Option<u32>) -> usize {
         let from = end.ended - DOWN_TIME;
         let down = self.ended.iter().filter(|e| {
             let was_down = e.at >= from && e.at <= end.ended && e.life != end.endpoint;
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -12,28 +12,31 @@
 use crate::link::{LinkError, Reader};
 use crate::node::Node;
 use crate::outcome::{FailReason, NotRunReason, Outcome, UnknownReason};
-use crate::quarantine::{Change, End, LifeDigest, Notice, Standing, ENDS_TO_REFUSE, MOST_NOTICES};
+use crate::quarantine::{
+    Change, EndpointEnd, IncarnationDigest, Notice, QuarantineStatus, ENDS_TO_REFUSE,
+    MAX_NOTICES_PER_MESSAGE,
+};
 use crate::run::Ran;
 use crate::sidecar::Sidecar;
 use crate::wire::{FromSidecar, Offer, Start};
 
 /// The lives of a sidecar's endpoint, as the sidecar counts them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EndpointLives {
+pub struct EndpointIncarnation {
     number: u32,
     is_over: bool,
 }
 
-impl EndpointLives {
+impl EndpointIncarnation {
     /// A digest of the life that goes on, or ended last; no other sidecar's or incarnation's is the same.
-    fn digest(self, instance: &str, incarnation: Incarnation) -> LifeDigest {
+    fn digest(self, instance: &str, incarnation: Incarnation) -> IncarnationDigest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(instance.as_bytes());
         hasher.update(&incarnation.0.to_be_bytes());
         hasher.update(&self.number.to_be_bytes());
         let mut first = [0; 4];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
-        LifeDigest::from_be_bytes(first)
+        IncarnationDigest::from_be_bytes(first)
     }
 }
 
@@ -57,9 +60,9 @@
     }
 }
 
-fn begin_life(lives: &Cell<EndpointLives>) {
-    let EndpointLives { number, is_over } = lives.get();
-    lives.set(EndpointLives {
+fn begin_life(lives: &Cell<EndpointIncarnation>) {
+    let EndpointIncarnation { number, is_over } = lives.get();
+    lives.set(EndpointIncarnation {
         number: number + u32::from(is_over),
         is_over: false,
     });
@@ -83,7 +86,10 @@
             return Vec::new();
         }
         let request = of_run(offer, start);
-        let change = node.quarantine.borrow_mut().finished(request, now, now);
+        let change = node
+            .quarantine
+            .borrow_mut()
+            .record_completion(request, now, now);
         return told(node, request, change);
     }
     if !may_have_ended(outcome) || !sidecar.endpoint.is_gone().await {
@@ -92,14 +98,14 @@
     let mut lives = sidecar.lives.get();
     lives.is_over = true;
     sidecar.lives.set(lives);
-    let end = End {
+    let end = EndpointEnd {
         endpoint: lives.digest(&node.settings.id, node.incarnation),
         began,
         ended: now,
     };
     let request = of_run(offer, start);
     node.count_endpoints();
-    let change = node.quarantine.borrow_mut().ended(request, end, now);
+    let change = node.quarantine.borrow_mut().record_end(request, end, now);
     tracing::warn!(request = %offer.request, fingerprint = %request, "the endpoint ended under a run");
     told(node, request, change)
 }
@@ -122,18 +128,18 @@
     let quarantine = node.quarantine.borrow();
     let recent = quarantine
         .recent()
-        .since(Millis(0), false, MOST_NOTICES, now);
+        .since(Millis(0), false, MAX_NOTICES_PER_MESSAGE, now);
     let of_request = recent.into_iter().filter(|n| n.request() == request);
     of_request.collect()
 }
 
 /// Takes what another process tells.
-pub fn take(node: &Node, notices: &[Notice]) {
+pub fn apply_notices(node: &Node, notices: &[Notice]) {
     let now = node.clock.now();
     node.count_endpoints();
     let mut is_new = false;
     for notice in notices {
-        let change = node.quarantine.borrow_mut().take(notice, now);
+        let change = node.quarantine.borrow_mut().apply_notice(notice, now);
         is_new |= change != Change::None;
         if let Change::Refused { ends, .. } = change {
             let fingerprint = notice.request();
@@ -152,7 +158,7 @@
 ) -> Result<Option<FromSidecar>, LinkError> {
     loop {
         match reader.next::<FromSidecar>().await? {
-            Some(FromSidecar::Notices(notices)) => take(&entry.node, &notices),
+            Some(FromSidecar::Notices(notices)) => apply_notices(&entry.node, &notices),
             message => return Ok(message),
         }
     }
@@ -165,11 +171,17 @@
         return None;
     }
     let now = node.clock.now();
-    if !node.quarantine.borrow_mut().judge(now).is_empty() {
+    if !node
+        .quarantine
+        .borrow_mut()
+        .evaluate_suspects(now)
+        .is_empty()
+    {
         node.suspicions.send_modify(|changes| *changes += 1);
     }
-    match node.quarantine.borrow().standing(of_job(job), now) {
-        Standing::UnderWay { ends, until, .. } | Standing::Refused { ends, until }
+    match node.quarantine.borrow().request_status(of_job(job), now) {
+        QuarantineStatus::MustWait { ends, until, .. }
+        | QuarantineStatus::Refused { ends, until }
             if ends >= ENDS_TO_REFUSE =>
         {
             let reason = NotRunReason::EndsEndpoints;
