--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -64,16 +64,20 @@
     /// Number of entries that serve in that zone, the sender included.
     pub zone_entries: u32,
     /// Whether the sender wants a reply at once, since its proof grows old.
+    #[serde(rename = "asks")]
     pub wants_reply: bool,
     /// Addresses of some other entries.
+    #[serde(rename = "others")]
     pub peer_addresses: Vec<SocketAddr>,
     /// Whose work follows.
+    #[serde(rename = "covers")]
     pub work_scope: WorkScope,
     /// Work at endpoints, by the digest of the endpoint's incarnation. Endpoints without work are
     /// left out.
     #[serde(with = "compact")]
     pub work: Vec<(u32, Work)>,
     /// Placements of prompts made lately, by the entries in `work_scope`.
+    #[serde(rename = "placed")]
     pub placements: Vec<PromptPlacement>,
 }
 
--- a/src/direct/peers/placements.rs
+++ b/src/direct/peers/placements.rs
@@ -14,6 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPlacement {
     /// Id of the last part of the prompt that is shared with other prompts.
+    #[serde(rename = "part")]
     pub segment_id: u64,
     /// Digest of the endpoint's incarnation.
     pub endpoint: u32,
--- a/src/direct/versions.rs
+++ b/src/direct/versions.rs
@@ -34,6 +34,7 @@
     /// Patches, the oldest first, each written by itself.
     Patches(Vec<Vec<u8>>),
     /// The newest version.
+    #[serde(rename = "Whole")]
     Full(Vec<u8>),
 }
 
