--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -12,7 +12,7 @@
 use crate::clock::Millis;
 use crate::direct::decision::Decision;
 use crate::direct::directory::EndpointKey;
-use crate::direct::limits::{self, Message, PermitAnswer, PermitAsk, Step, Target};
+use crate::direct::limits::{self, Message, PermitDecision, PermitRequest, PermitResponse, Target};
 use crate::direct::peers::{Coordinator, ZoneId};
 use crate::rate::Rate;
 
@@ -24,7 +24,7 @@
 /// Questions for permits that wait for their answers, by number.
 #[derive(Debug, Default)]
 pub struct Questions {
-    waiting: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitAnswer>)>>,
+    waiting: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitResponse>)>>,
     next: Cell<u32>,
 }
 
@@ -42,7 +42,7 @@
 
 impl Questions {
     /// A question to a peer, and where its answer comes.
-    fn begin(&self, peer: SocketAddr) -> (Question<'_>, oneshot::Receiver<PermitAnswer>) {
+    fn begin(&self, peer: SocketAddr) -> (Question<'_>, oneshot::Receiver<PermitResponse>) {
         let number = self.next.get();
         self.next.set(number.wrapping_add(1));
         let (tx, rx) = oneshot::channel();
@@ -52,7 +52,7 @@
     }
 
     /// A peer answered.
-    fn answered(&self, from: SocketAddr, answer: PermitAnswer) {
+    fn answered(&self, from: SocketAddr, answer: PermitResponse) {
         let mut waiting = self.waiting.borrow_mut();
         let is_asked = waiting
             .get(&answer.number)
@@ -118,18 +118,18 @@
     }
 
     /// A permit to send a request of a band to an endpoint now, where that needs one.
-    pub async fn permit(&self, key: EndpointKey, band: usize) -> Step {
+    pub async fn permit(&self, key: EndpointKey, band: usize) -> PermitDecision {
         let Some(target) = self.target(key) else {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         };
         if self.limits.borrow().is_empty() {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         }
         let by = self.whom_to_ask(target);
         let now = self.clock.now();
-        let mut step = self.limits.borrow_mut().step(target, by, band, now);
+        let mut step = self.limits.borrow_mut().decide(target, by, band, now);
         for _ in 0..MOST_ASKED {
-            let Step::Ask(peer) = step else {
+            let PermitDecision::Ask(peer) = step else {
                 break;
             };
             step = self.ask(peer, target, band).await;
@@ -139,7 +139,7 @@
     }
 
     /// Asks a peer for a permit.
-    async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> Step {
+    async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> PermitDecision {
         let now = self.clock.now();
         let (question, rx) = self.questions.begin(peer);
         let ask =
@@ -170,7 +170,7 @@
     }
 
     /// Answers a peer that asks for a permit.
-    fn answer_ask(&self, from: SocketAddr, ask: &PermitAsk) {
+    fn answer_ask(&self, from: SocketAddr, ask: &PermitRequest) {
         let target = Target {
             endpoint: ask.endpoint,
             zone: ask.zone,
@@ -182,7 +182,7 @@
     }
 
     /// A peer told what an endpoint said to it.
-    fn limit_told(&self, endpoint: u32, word: limits::Word, from: SocketAddr) {
+    fn limit_told(&self, endpoint: u32, word: limits::LimitObservation, from: SocketAddr) {
         let key = self.directory().by_digest(endpoint);
         // One that is not listed here is not sent to either.
         let Some(target) = key.and_then(|key| self.target(key)) else {
--- a/src/direct/gauge.rs
+++ b/src/direct/gauge.rs
@@ -9,7 +9,7 @@
 
 use crate::announced::Unwilling;
 use crate::direct::ends::EndSign;
-use crate::direct::limits::Step;
+use crate::direct::limits::PermitDecision;
 
 /// Bounds of the latency buckets, in ms: around the targets of today's classes.
 const LATENCY_MS: [f64; 12] = [
@@ -147,12 +147,12 @@
     }
 
     /// A permit was asked for to send a request to an endpoint that may have a limit.
-    pub fn permit(&self, step: &Step) {
+    pub fn permit(&self, step: &PermitDecision) {
         let outcome = match step {
-            Step::Unlimited => return,
-            Step::Permitted => "given",
-            Step::Wait(_) => "not_given",
-            Step::Ask(_) => "passed_around",
+            PermitDecision::Unlimited => return,
+            PermitDecision::Permitted => "given",
+            PermitDecision::Wait(_) => "not_given",
+            PermitDecision::Ask(_) => "passed_around",
         };
         self.permits.add(1, &[KeyValue::new("outcome", outcome)]);
     }
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::directory::{Endpoint, EndpointKey};
-use crate::direct::limits::Step;
+use crate::direct::limits::PermitDecision;
 
 /// Time in which a permit is to be used: to open a connection takes less, and a process that stood still meanwhile does not
 /// send later what others have got since.
@@ -30,8 +30,8 @@
         }
         let asked = self.entry.clock.now();
         let is_permitted = match self.entry.permit(key, self.band()).await {
-            Step::Unlimited => true,
-            Step::Permitted => {
+            PermitDecision::Unlimited => true,
+            PermitDecision::Permitted => {
                 let until = asked + LASTS;
                 self.permit = Some(Permit {
                     endpoint: key,
@@ -39,7 +39,7 @@
                 });
                 true
             }
-            Step::Wait(_) | Step::Ask(_) => false,
+            PermitDecision::Wait(_) | PermitDecision::Ask(_) => false,
         };
         self.refusals += u32::from(!is_permitted);
         is_permitted
--- a/src/direct/limits/limited.rs
+++ b/src/direct/limits/limited.rs
@@ -1,6 +1,6 @@
 //! What one entry knows of one endpoint's limit, and what it gives out as its coordinator.
 
-use super::{Allowance, Word};
+use super::{LimitObservation, PermitBucket};
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::direct::peers::ZoneId;
@@ -21,11 +21,11 @@
 pub(super) struct Limited {
     pub(super) zone: Option<ZoneId>,
     /// The word of an answer to this entry.
-    pub(super) own: Option<Word>,
+    pub(super) own: Option<LimitObservation>,
     /// When that named another limit than the one before.
     pub(super) changed: Millis,
     /// A peer's word, and when it came.
-    pub(super) told: Option<(Word, Millis)>,
+    pub(super) told: Option<(LimitObservation, Millis)>,
     /// When a permit may be asked for, by band.
     pub(super) ask_at: [Millis; BANDS],
     /// When the last question was asked that is not answered yet.
@@ -33,15 +33,17 @@
     /// Permits that are kept for the next requests, and until when.
     pub(super) kept: (u32, Millis),
     /// What this entry gives out, as its coordinator.
-    pub(super) allowance: Option<Allowance>,
+    pub(super) allowance: Option<PermitBucket>,
     /// When anything was heard of it.
     pub(super) heard: Millis,
 }
 
 impl Limited {
     /// The word that counts now.
-    pub(super) fn word(&self, now: Millis) -> Option<Word> {
-        let lasts = |(word, at): &(Word, Millis)| word.limit.is_none() || now < *at + TOLD_LASTS;
+    pub(super) fn word(&self, now: Millis) -> Option<LimitObservation> {
+        let lasts = |(word, at): &(LimitObservation, Millis)| {
+            word.limit.is_none() || now < *at + TOLD_LASTS
+        };
         let told = self.told.filter(lasts);
         match (self.own, told) {
             (Some(own), Some((told, _))) if told.replaces(&own) => Some(told),
@@ -87,11 +89,11 @@
         now: Millis,
     ) -> Result<u32, Millis> {
         let limit = self.limit(now).unwrap_or_default();
-        let begin = || match is_settled {
-            true => Allowance::begin_with_one(now),
-            false => Allowance::begin(now + HANDOVER),
+        let empty_until = || match is_settled {
+            true => PermitBucket::with_one_permit(now),
+            false => PermitBucket::empty_until(now + HANDOVER),
         };
-        let allowance = self.allowance.get_or_insert_with(begin);
+        let allowance = self.allowance.get_or_insert_with(empty_until);
         allowance.take(limit, part, band, wanted, now)
     }
 }
--- a/src/direct/limits/message.rs
+++ b/src/direct/limits/message.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Word;
+use super::LimitObservation;
 use crate::clock::Millis;
 use crate::direct::peers::ZoneId;
 use crate::rate::Rate;
@@ -21,16 +21,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// An entry asks the coordinator of an endpoint for a permit.
-    Ask(PermitAsk),
+    Ask(PermitRequest),
     /// The answer.
-    Answer(PermitAnswer),
+    Answer(PermitResponse),
     /// What endpoints said to the sender.
-    Told(Vec<(u32, ToldWord)>),
+    Told(Vec<(u32, WireObservation)>),
 }
 
 /// A question for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The asker's number of it.
     pub number: u32,
     /// Digest of the endpoint's life.
@@ -42,23 +42,23 @@
     /// Permits that it can use at once.
     pub wanted: u8,
     /// What the endpoint said to the asker; `None` where it has only heard of it.
-    pub word: Option<ToldWord>,
+    pub word: Option<WireObservation>,
 }
 
 /// The answer to one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAnswer {
+pub struct PermitResponse {
     /// The asker's number.
     pub number: u32,
     /// What it gets.
-    pub given: Given,
+    pub given: PermitGrant,
     /// The newest word that the coordinator knows, where that differs from the asker's.
-    pub word: Option<ToldWord>,
+    pub word: Option<WireObservation>,
 }
 
 /// What an asker gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Given {
+pub enum PermitGrant {
     /// Permits to send so many requests now.
     Permits(u8),
     /// Nothing; it may ask again after so many ms.
@@ -69,15 +69,15 @@
 
 /// A word with times as ages, since entries' clocks differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldWord {
+pub struct WireObservation {
     limit: Option<Rate>,
     sent_ago_ms: u32,
     heard_ago_ms: u32,
 }
 
-impl ToldWord {
+impl WireObservation {
     /// A word as it is told now.
-    pub fn of(word: &Word, now: Millis) -> Self {
+    pub fn of(word: &LimitObservation, now: Millis) -> Self {
         Self {
             limit: word.limit,
             sent_ago_ms: (now - word.sent).as_u32(),
@@ -86,8 +86,8 @@
     }
 
     /// The word as it is heard now.
-    pub fn word(&self, now: Millis) -> Word {
-        Word {
+    pub fn word(&self, now: Millis) -> LimitObservation {
+        LimitObservation {
             limit: self.limit,
             sent: now - Millis(self.sent_ago_ms.into()),
             heard: now - Millis(self.heard_ago_ms.into()),
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -3,22 +3,22 @@
 //! No entry sees what the others send, so one entry decides for each limited endpoint: its coordinator, which
 //! [`crate::direct::peers`] picks by hash among the entries of the endpoint's availability zone. It gives out permits at the
 //! rate of the limit, and an entry sends a request to a limited endpoint only with a permit. Where the coordinator can't be
-//! reached nothing is sent; where entries disagree on who it is, each gives out less than the limit, see [`Allowance`].
+//! reached nothing is sent; where entries disagree on who it is, each gives out less than the limit, see [`PermitBucket`].
 
-mod allowance;
 mod limited;
 mod message;
-mod word;
+mod observation;
+mod permit_bucket;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-pub use self::allowance::Allowance;
 use self::limited::Limited;
 pub use self::message::{
-    decode, encode, Given, Message, PermitAnswer, PermitAsk, ToldWord, MOST_TOLD,
+    decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation, MOST_TOLD,
 };
-pub use self::word::Word;
+pub use self::observation::LimitObservation;
+pub use self::permit_bucket::PermitBucket;
 use crate::announced::NamedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
@@ -53,7 +53,7 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum PermitDecision {
     /// The endpoint has no limit.
     Unlimited,
     /// It may, now.
@@ -94,7 +94,7 @@
             NamedLimit::Rate(rate) => Some(rate),
         };
         let heard = now;
-        let word = Word { limit, sent, heard };
+        let word = LimitObservation { limit, sent, heard };
         let limited = self.limited(target, now);
         let before = limited.limit(now);
         if limited.own.is_none_or(|known| word.replaces(&known)) {
@@ -108,7 +108,12 @@
     }
 
     /// A peer told what an endpoint said to it; the limit in force, where that has changed.
-    pub fn hear_told(&mut self, target: Target, word: Word, now: Millis) -> Option<Option<Rate>> {
+    pub fn hear_told(
+        &mut self,
+        target: Target,
+        word: LimitObservation,
+        now: Millis,
+    ) -> Option<Option<Rate>> {
         if word.limit.is_none() && !self.by_endpoint.contains_key(&target.endpoint) {
             return None;
         }
@@ -151,40 +156,46 @@
     }
 
     /// Whether a request of a band may be sent to an endpoint.
-    pub fn step(&mut self, target: Target, by: Coordinator, band: usize, now: Millis) -> Step {
+    pub fn decide(
+        &mut self,
+        target: Target,
+        by: Coordinator,
+        band: usize,
+        now: Millis,
+    ) -> PermitDecision {
         let stands_still = self.stood_still(now);
         let may_ask = self.may_ask(now);
         let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) else {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         };
         if limited.limit(now).is_none() {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         }
         if limited.use_kept(now) {
-            return Step::Permitted;
+            return PermitDecision::Permitted;
         }
         let ask_at = limited.ask_at(band);
         if now < ask_at {
-            return Step::Wait(ask_at);
+            return PermitDecision::Wait(ask_at);
         }
         let until = match by {
             Coordinator::Own { part, is_settled } if !stands_still => {
                 match limited.take(part, is_settled, band, 1, now) {
-                    Ok(_) => return Step::Permitted,
+                    Ok(_) => return PermitDecision::Permitted,
                     Err(until) => until,
                 }
             }
             Coordinator::Peer(peer) if may_ask => {
                 self.asks.0 -= 1.0;
                 limited.asking = Some(now);
-                return Step::Ask(peer);
+                return PermitDecision::Ask(peer);
             }
             Coordinator::Own { .. } | Coordinator::Peer(_) | Coordinator::Unknown => {
                 now + ASK_AGAIN
             }
         };
         limited.wait(band, until);
-        Step::Wait(until)
+        PermitDecision::Wait(until)
     }
 
     /// The question to the coordinator of an endpoint, while so many requests wait for any permit.
@@ -195,22 +206,22 @@
         band: usize,
         waiting: u32,
         now: Millis,
-    ) -> PermitAsk {
+    ) -> PermitRequest {
         let share = waiting / (self.by_endpoint.len() as u32).max(1);
         let limited = self.by_endpoint.get(&target.endpoint);
         let own = limited.and_then(|limited| limited.own);
-        PermitAsk {
+        PermitRequest {
             number,
             endpoint: target.endpoint,
             zone: target.zone,
             band: band as u8,
             wanted: (1 + share).min(MOST_WANTED) as u8,
-            word: own.map(|word| ToldWord::of(&word, now)),
+            word: own.map(|word| WireObservation::of(&word, now)),
         }
     }
 
     /// Answers a question.
-    pub fn asked(&mut self, ask: &PermitAsk, by: Coordinator, now: Millis) -> PermitAnswer {
+    pub fn asked(&mut self, ask: &PermitRequest, by: Coordinator, now: Millis) -> PermitResponse {
         let (endpoint, zone) = (ask.endpoint, ask.zone);
         let target = Target { endpoint, zone };
         let told = ask.word.map(|told| told.word(now));
@@ -223,23 +234,25 @@
         let band = usize::from(ask.band).min(BANDS - 1);
         let given = match by {
             // It has ended, and the asker learns that from the word.
-            _ if known.is_some_and(|word| word.limit.is_none()) => Given::Permits(1),
+            _ if known.is_some_and(|word| word.limit.is_none()) => PermitGrant::Permits(1),
             Coordinator::Own { part, is_settled } if !stands_still => {
                 let wanted = u32::from(ask.wanted).min(MOST_WANTED);
                 match limited.take(part, is_settled, band, wanted, now) {
-                    Ok(given) => Given::Permits(given as u8),
-                    Err(until) => Given::Nothing((until - now).as_u32()),
+                    Ok(given) => PermitGrant::Permits(given as u8),
+                    Err(until) => PermitGrant::Nothing((until - now).as_u32()),
                 }
             }
-            Coordinator::Peer(peer) => Given::Elsewhere(peer),
-            Coordinator::Own { .. } | Coordinator::Unknown => Given::Nothing(ASK_AGAIN.as_u32()),
+            Coordinator::Peer(peer) => PermitGrant::Elsewhere(peer),
+            Coordinator::Own { .. } | Coordinator::Unknown => {
+                PermitGrant::Nothing(ASK_AGAIN.as_u32())
+            }
         };
         let is_news = known.map(|word| word.limit) != told.map(|word| word.limit);
         let word = known.filter(|_| is_news);
-        PermitAnswer {
+        PermitResponse {
             number: ask.number,
             given,
-            word: word.map(|word| ToldWord::of(&word, now)),
+            word: word.map(|word| WireObservation::of(&word, now)),
         }
     }
 
@@ -248,10 +261,10 @@
         &mut self,
         target: Target,
         peer: SocketAddr,
-        answer: Option<&PermitAnswer>,
+        answer: Option<&PermitResponse>,
         band: usize,
         now: Millis,
-    ) -> Step {
+    ) -> PermitDecision {
         if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
             limited.asking = None;
         }
@@ -264,27 +277,27 @@
             self.hear_told(target, told.word(now), now);
         }
         match answer.given {
-            Given::Permits(0) => self.wait(target, band, now + ASK_AGAIN),
-            Given::Permits(given) => {
+            PermitGrant::Permits(0) => self.wait(target, band, now + ASK_AGAIN),
+            PermitGrant::Permits(given) => {
                 if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
                     limited.kept = (u32::from(given) - 1, now + KEPT);
                 }
-                Step::Permitted
+                PermitDecision::Permitted
             }
-            Given::Nothing(ms) => self.wait(target, band, now + Millis(ms.into())),
-            Given::Elsewhere(other) if self.is_unanswered(other, now) => {
+            PermitGrant::Nothing(ms) => self.wait(target, band, now + Millis(ms.into())),
+            PermitGrant::Elsewhere(other) if self.is_unanswered(other, now) => {
                 self.wait(target, 0, now + ASK_AGAIN)
             }
-            Given::Elsewhere(other) => Step::Ask(other),
+            PermitGrant::Elsewhere(other) => PermitDecision::Ask(other),
         }
     }
 
     /// Nothing is asked for an endpoint before a time, for requests of a band and of less urgent ones.
-    pub fn wait(&mut self, target: Target, band: usize, until: Millis) -> Step {
+    pub fn wait(&mut self, target: Target, band: usize, until: Millis) -> PermitDecision {
         if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
             limited.wait(band, until);
         }
-        Step::Wait(until)
+        PermitDecision::Wait(until)
     }
 
     /// A round: what other entries coordinate is no longer given out here, and what is over is forgotten.
@@ -305,16 +318,16 @@
     }
 
     /// The newest of what endpoints said to this entry since a time that was not as before.
-    pub fn news(&self, since: Millis, now: Millis) -> Vec<(u32, ToldWord)> {
+    pub fn news(&self, since: Millis, now: Millis) -> Vec<(u32, WireObservation)> {
         let changed = self.by_endpoint.iter();
         let changed = changed.filter(|(_, limited)| limited.changed >= since);
-        let mut news: Vec<(Millis, u32, Word)> = changed
+        let mut news: Vec<(Millis, u32, LimitObservation)> = changed
             .filter_map(|(endpoint, limited)| Some((limited.changed, *endpoint, limited.own?)))
             .collect();
         news.sort_by_key(|(changed, ..)| std::cmp::Reverse(*changed));
         news.truncate(MOST_TOLD);
         let told = news.iter();
-        told.map(|(_, endpoint, word)| (*endpoint, ToldWord::of(word, now)))
+        told.map(|(_, endpoint, word)| (*endpoint, WireObservation::of(word, now)))
             .collect()
     }
 
--- a/src/direct/limits/word.rs
+++ b/src/direct/limits/observation.rs
@@ -5,7 +5,7 @@
 
 /// What an answer says of the limit that the endpoint has for all instances together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Word {
+pub struct LimitObservation {
     /// The limit; `None` where the answer names none.
     pub limit: Option<Rate>,
     /// When the request was sent: the endpoint said it later.
@@ -14,7 +14,7 @@
     pub heard: Millis,
 }
 
-impl Word {
+impl LimitObservation {
     /// Whether this word counts instead of another one.
     ///
     /// Answers come in another order than endpoints make them. A lower limit counts unless it was certainly said
--- a/src/direct/limits/allowance.rs
+++ b/src/direct/limits/permit_bucket.rs
@@ -26,7 +26,7 @@
 
 /// What one entry gives out for one endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Allowance {
+pub struct PermitBucket {
     /// Permits at hand.
     level: f64,
     /// Up to when they are counted.
@@ -39,9 +39,9 @@
     given: u32,
 }
 
-impl Allowance {
+impl PermitBucket {
     /// An allowance from which nothing is given out before `opens`; from then on it fills.
-    pub fn begin(opens: Millis) -> Self {
+    pub fn empty_until(opens: Millis) -> Self {
         Self {
             level: 0.0,
             filled: opens,
@@ -52,10 +52,10 @@
     }
 
     /// The same with one permit at hand.
-    pub fn begin_with_one(now: Millis) -> Self {
+    pub fn with_one_permit(now: Millis) -> Self {
         Self {
             level: 1.0,
-            ..Self::begin(now)
+            ..Self::empty_until(now)
         }
     }
 
--- a/src/sidecar/limited.rs
+++ b/src/sidecar/limited.rs
@@ -3,14 +3,14 @@
 use super::Sidecar;
 use crate::announced::NamedLimit;
 use crate::clock::Millis;
-use crate::direct::limits::{Allowance, Word};
+use crate::direct::limits::{LimitObservation, PermitBucket};
 use crate::direct::load::BANDS;
 
 /// What the endpoint has said of its limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limited {
-    word: Word,
-    allowance: Allowance,
+    word: LimitObservation,
+    allowance: PermitBucket,
 }
 
 impl Sidecar {
@@ -22,7 +22,7 @@
             NamedLimit::None => None,
             NamedLimit::Rate(rate) => Some(rate),
         };
-        let word = Word { limit, sent, heard };
+        let word = LimitObservation { limit, sent, heard };
         let mut limited = self.limited.borrow_mut();
         let known = limited.map(|limited| limited.word);
         if known.map_or(limit.is_none(), |known| !word.replaces(&known)) {
@@ -34,7 +34,7 @@
         let allowance = limited.map(|limited| limited.allowance);
         *limited = Some(Limited {
             word,
-            allowance: allowance.unwrap_or_else(|| Allowance::begin(heard)),
+            allowance: allowance.unwrap_or_else(|| PermitBucket::empty_until(heard)),
         });
     }
 
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -5,7 +5,7 @@
 use common::hello;
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
-use violetline::direct::limits::{Allowance, Given, Limits, Step, Target};
+use violetline::direct::limits::{Limits, PermitBucket, PermitDecision, PermitGrant, Target};
 use violetline::direct::peers::{Coordinator, Hello, PeerBook, ZoneId};
 use violetline::rate::Rate;
 
@@ -20,7 +20,7 @@
 
 /// The most permits in 4 s of one coordinator that is asked all the time.
 fn most(limit: f64, part: f64) -> usize {
-    let mut allowance = Allowance::begin_with_one(Millis(0));
+    let mut allowance = PermitBucket::with_one_permit(Millis(0));
     let limit = Rate((limit * 1_000.0) as u32);
     let mut given = Vec::new();
     for now in 5_000..20_000 {
@@ -62,7 +62,7 @@
 /// A more urgent one that found nothing gets the next permit; the less urgent go on to get some.
 #[test]
 fn urgent_first() {
-    let mut allowance = Allowance::begin(Millis(0));
+    let mut allowance = PermitBucket::empty_until(Millis(0));
     let limit = Rate(1_000);
     let turn = allowance.take(limit, 1.0, 0, 1, Millis(100)).unwrap_err();
     assert!(allowance.take(limit, 1.0, 2, 1, turn).is_err());
@@ -80,7 +80,7 @@
 /// A limit that rises from 1 to 10 and falls again is kept at once.
 #[test]
 fn limit_changes() {
-    let mut allowance = Allowance::begin_with_one(Millis(0));
+    let mut allowance = PermitBucket::with_one_permit(Millis(0));
     let mut count = |limit, from: u64| {
         let given = (from..from + 4_000).filter(|now| {
             let taken = allowance.take(Rate(limit), 1.0, 0, 1, Millis(*now));
@@ -103,10 +103,13 @@
         Millis(1_000),
         Millis(1_001),
     );
-    assert_eq!(limits.step(TARGET, OWN, 0, Millis(1_002)), Step::Permitted);
+    assert_eq!(
+        limits.decide(TARGET, OWN, 0, Millis(1_002)),
+        PermitDecision::Permitted
+    );
     assert!(matches!(
-        limits.step(TARGET, OWN, 0, Millis(9_000)),
-        Step::Wait(_)
+        limits.decide(TARGET, OWN, 0, Millis(9_000)),
+        PermitDecision::Wait(_)
     ));
     limits.round(|_| true, Millis(9_010));
     let unsettled = Coordinator::Own {
@@ -116,8 +119,8 @@
     for now in 9_011..10_011 {
         assert!(
             matches!(
-                limits.step(TARGET, unsettled, 0, Millis(now)),
-                Step::Wait(_)
+                limits.decide(TARGET, unsettled, 0, Millis(now)),
+                PermitDecision::Wait(_)
             ),
             "{now}"
         );
@@ -139,9 +142,9 @@
     let ask = asker.question(TARGET, 1, 0, 0, Millis(1_000));
     let other = ([10, 0, 0, 9], 7_000).into();
     let answer = limits.asked(&ask, Coordinator::Peer(other), Millis(1_001));
-    assert_eq!(answer.given, Given::Elsewhere(other));
+    assert_eq!(answer.given, PermitGrant::Elsewhere(other));
     let answer = limits.asked(&ask, OWN, Millis(1_001));
-    assert_eq!(answer.given, Given::Permits(1));
+    assert_eq!(answer.given, PermitGrant::Permits(1));
     limits.hear(TARGET, NamedLimit::None, Millis(1_002), Millis(1_010));
     let ask = asker.question(TARGET, 2, 0, 0, Millis(1_012));
     let answer = limits.asked(&ask, OWN, Millis(1_012));
@@ -155,10 +158,10 @@
     let mut limits = Limits::default();
     limits.hear(TARGET, NamedLimit::Rate(Rate(1_000)), Millis(0), Millis(10));
     let peer = ([10, 0, 0, 9], 7_000).into();
-    let step = limits.step(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
-    assert_eq!(step, Step::Ask(peer));
+    let step = limits.decide(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
+    assert_eq!(step, PermitDecision::Ask(peer));
     let step = limits.answered(TARGET, peer, None, 0, Millis(1_150));
-    assert!(matches!(step, Step::Wait(_)));
+    assert!(matches!(step, PermitDecision::Wait(_)));
     assert!(limits.is_unanswered(peer, Millis(1_500)));
 }
 
--- a/tests/limit_words.rs
+++ b/tests/limit_words.rs
@@ -2,7 +2,7 @@
 
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
-use violetline::direct::limits::{Limits, Target, Word};
+use violetline::direct::limits::{LimitObservation, Limits, Target};
 use violetline::rate::Rate;
 
 const ENDPOINT: Target = Target {
@@ -65,7 +65,7 @@
 /// A peer's word of a limit counts for some seconds; its word that the limit has ended counts until an answer names one.
 #[test]
 fn peers_words() {
-    let word = |limit: Option<u32>, sent, heard| Word {
+    let word = |limit: Option<u32>, sent, heard| LimitObservation {
         limit: limit.map(Rate),
         sent: Millis(sent),
         heard: Millis(heard),
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
-use violetline::direct::limits::{self, Limits, Message, Step, Target};
+use violetline::direct::limits::{self, Limits, Message, PermitDecision, Target};
 use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, ZoneId, ROUND};
 use violetline::rate::Rate;
 
@@ -406,20 +406,20 @@
         let by = self.coordinator(asked.entry, t, true);
         let limits = &mut self.members[asked.entry].limits;
         let step = match self.day.keeps {
-            true => limits.step(t, by, asked.band, now),
-            false => Step::Unlimited,
+            true => limits.decide(t, by, asked.band, now),
+            false => PermitDecision::Unlimited,
         };
         self.steps(asked, engine, step, 0);
     }
 
-    fn steps(&mut self, mut asked: Asked, engine: usize, step: Step, hops: u32) {
+    fn steps(&mut self, mut asked: Asked, engine: usize, step: PermitDecision, hops: u32) {
         let i = asked.entry;
         match step {
-            Step::Unlimited | Step::Permitted => {
+            PermitDecision::Unlimited | PermitDecision::Permitted => {
                 let life = self.members[i].life;
                 self.at(self.now + WAY, Event::Reaches(asked, engine, life));
             }
-            Step::Ask(peer) if hops < 2 => {
+            PermitDecision::Ask(peer) if hops < 2 => {
                 let now = self.time();
                 let peer = self.by_address[&peer];
                 let t = target(engine, self.day.zones);
@@ -440,7 +440,7 @@
                 self.send(i, peer, Message::Ask(ask));
                 self.at(self.now + ANSWER_TIME, Event::TimeOver(i, life, number));
             }
-            Step::Wait(_) | Step::Ask(_) => {
+            PermitDecision::Wait(_) | PermitDecision::Ask(_) => {
                 asked.refusals += 1;
                 self.asks(asked);
             }
