--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -62,8 +62,8 @@
 fn question(bencher: divan::Bencher<'_, '_>) {
     let mut limits = Limits::default();
     limits.round(|_| true, NOW);
-    limits.hear(TARGET, NamedLimit::Rate(Rate(3_300)), Millis(4_900), NOW);
-    let ask = limits.question(TARGET, 1, 0, 0, NOW);
+    limits.record_answer(TARGET, NamedLimit::Rate(Rate(3_300)), Millis(4_900), NOW);
+    let ask = limits.permit_request(TARGET, 1, 0, 0, NOW);
     let bytes = limits::encode(&Message::Ask(ask)).unwrap_or_default();
     let own = Coordinator::Own {
         part: 1.0,
@@ -73,7 +73,7 @@
         let Some(Message::Ask(ask)) = limits::decode(&bytes) else {
             return None;
         };
-        let answer = limits.asked(&ask, own, NOW);
+        let answer = limits.handle_request(&ask, own, NOW);
         limits::encode(&Message::Answer(answer))
     });
 }
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -88,7 +88,10 @@
             return;
         };
         let now = self.clock.now();
-        let changed = self.limits.borrow_mut().hear(target, named, sent, now);
+        let changed = self
+            .limits
+            .borrow_mut()
+            .record_answer(target, named, sent, now);
         if let Some(limit) = changed {
             let request = String::from_utf8_lossy(request).into_owned();
             self.log_limited(target, limit, Some(request), None);
@@ -106,9 +109,9 @@
     }
 
     /// When a permit for a request of a band may be asked for at a limited endpoint; `None` where it has no limit.
-    pub fn permit_at(&self, endpoint: u32, band: usize) -> Option<Millis> {
+    pub fn permit_request_at(&self, endpoint: u32, band: usize) -> Option<Millis> {
         let now = self.clock.now();
-        self.limits.borrow().ask_at(endpoint, band, now)
+        self.limits.borrow().permit_request_at(endpoint, band, now)
     }
 
     /// Counts a request as waiting for a permit until the guard is dropped.
@@ -142,17 +145,20 @@
     async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> PermitDecision {
         let now = self.clock.now();
         let (question, rx) = self.questions.begin(peer);
-        let ask =
-            self.limits
-                .borrow()
-                .question(target, question.number, band, self.waiting.get(), now);
+        let ask = self.limits.borrow().permit_request(
+            target,
+            question.number,
+            band,
+            self.waiting.get(),
+            now,
+        );
         self.send_limits(peer, &Message::Ask(ask));
         let answer = self.clock.timeout_at(now + ANSWER_TIME, rx).await;
         let answer = answer.and_then(Result::ok);
         drop(question);
         let now = self.clock.now();
         let mut limits = self.limits.borrow_mut();
-        limits.answered(target, peer, answer.as_ref(), band, now)
+        limits.handle_response(target, peer, answer.as_ref(), band, now)
     }
 
     /// Takes a datagram on limits.
@@ -163,7 +169,7 @@
             Message::Told(told) => {
                 let now = self.clock.now();
                 for (endpoint, word) in told {
-                    self.limit_told(endpoint, word.word(now), from);
+                    self.limit_told(endpoint, word.observation(now), from);
                 }
             }
         }
@@ -177,7 +183,7 @@
         };
         let now = self.clock.now();
         let by = self.coordinator(target);
-        let answer = self.limits.borrow_mut().asked(ask, by, now);
+        let answer = self.limits.borrow_mut().handle_request(ask, by, now);
         self.send_limits(from, &Message::Answer(answer));
     }
 
@@ -189,7 +195,10 @@
             return;
         };
         let now = self.clock.now();
-        let changed = self.limits.borrow_mut().hear_told(target, word, now);
+        let changed = self
+            .limits
+            .borrow_mut()
+            .record_peer_observation(target, word, now);
         if let Some(limit) = changed {
             self.log_limited(target, limit, None, Some(from));
         }
@@ -223,17 +232,17 @@
     fn whom_to_ask(&self, target: Target) -> Coordinator {
         let now = self.clock.now();
         let limits = self.limits.borrow();
-        self.pick_coordinator(target, |peer| limits.is_unanswered(peer, now))
+        self.pick_coordinator(target, |peer| limits.is_unresponsive(peer, now))
     }
 
     fn pick_coordinator(
         &self,
         target: Target,
-        is_unanswered: impl Fn(SocketAddr) -> bool,
+        is_unresponsive: impl Fn(SocketAddr) -> bool,
     ) -> Coordinator {
         let peers = self.peers.borrow();
         let (now, started) = (self.clock.now(), self.started);
-        peers.coordinator(target.endpoint, target.zone, started, now, is_unanswered)
+        peers.coordinator(target.endpoint, target.zone, started, now, is_unresponsive)
     }
 
     fn target(&self, key: EndpointKey) -> Option<Target> {
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -296,7 +296,10 @@
         let quarantine = self.quarantine.borrow();
         gauges.set("requests_suspected", quarantine.len() as u64);
         gauges.set("requests_refused", quarantine.refused(now).len() as u64);
-        gauges.set("limited_endpoints", self.limits.borrow().count(now) as u64);
+        gauges.set(
+            "limited_endpoints",
+            self.limits.borrow().limited_endpoints(now) as u64,
+        );
         gauges.set("endpoints", self.directory.borrow().iter().count() as u64);
     }
 }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -96,9 +96,12 @@
 
 /// Tells a peer what endpoints said of their limits to this entry lately.
 fn tell_limits(entry: &Entry, to: SocketAddr, since: Millis) {
-    let news = entry.limits.borrow().news(since, entry.clock.now());
-    if !news.is_empty() {
-        entry.send_limits(to, &Message::Told(news));
+    let recent_observations = entry
+        .limits
+        .borrow()
+        .recent_observations(since, entry.clock.now());
+    if !recent_observations.is_empty() {
+        entry.send_limits(to, &Message::Told(recent_observations));
     }
 }
 
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -52,7 +52,7 @@
 
     /// Whether a permit for an endpoint may be asked for now, or none is needed.
     pub(super) fn may_ask_permit(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let Some(ask_at) = self.entry.permit_at(endpoint.digest, self.band()) else {
+        let Some(ask_at) = self.entry.permit_request_at(endpoint.digest, self.band()) else {
             return true;
         };
         ask_at <= now && self.refusals < MOST_REFUSALS
@@ -88,7 +88,7 @@
                 !self.tried.contains(key) && self.may_run_at(endpoint, &settings)
             });
         let band = self.band();
-        open.filter_map(|(_, endpoint)| self.entry.permit_at(endpoint.digest, band))
+        open.filter_map(|(_, endpoint)| self.entry.permit_request_at(endpoint.digest, band))
             .min()
     }
 
--- a/src/direct/limits/limited.rs
+++ b/src/direct/limits/limited.rs
@@ -27,7 +27,7 @@
     /// A peer's word, and when it came.
     pub(super) told: Option<(LimitObservation, Millis)>,
     /// When a permit may be asked for, by band.
-    pub(super) ask_at: [Millis; BANDS],
+    pub(super) permit_request_at: [Millis; BANDS],
     /// When the last question was asked that is not answered yet.
     pub(super) asking: Option<Millis>,
     /// Permits that are kept for the next requests, and until when.
@@ -35,7 +35,7 @@
     /// What this entry gives out, as its coordinator.
     pub(super) allowance: Option<PermitBucket>,
     /// When anything was heard of it.
-    pub(super) heard: Millis,
+    pub(super) updated_at: Millis,
 }
 
 impl Limited {
@@ -46,7 +46,7 @@
         };
         let told = self.told.filter(lasts);
         match (self.own, told) {
-            (Some(own), Some((told, _))) if told.replaces(&own) => Some(told),
+            (Some(own), Some((told, _))) if told.supersedes(&own) => Some(told),
             (Some(own), _) => Some(own),
             (None, told) => told.map(|(word, _)| word),
         }
@@ -57,14 +57,14 @@
     }
 
     /// When a permit for a request of a band may be asked for.
-    pub(super) fn ask_at(&self, band: usize) -> Millis {
+    pub(super) fn permit_request_at(&self, band: usize) -> Millis {
         let asked = self.asking.map_or(Millis(0), |at| at + BETWEEN_ASKS);
-        self.ask_at[band].max(asked)
+        self.permit_request_at[band].max(asked)
     }
 
     /// Nothing is asked before a time, for requests of a band and of less urgent ones.
     pub(super) fn wait(&mut self, band: usize, until: Millis) {
-        for at in &mut self.ask_at[band..] {
+        for at in &mut self.permit_request_at[band..] {
             *at = until.max(*at);
         }
     }
--- a/src/direct/limits/message.rs
+++ b/src/direct/limits/message.rs
@@ -15,7 +15,7 @@
 /// Longest such datagram, in bytes.
 const MOST_BYTES: usize = 512;
 /// Words told in one datagram at most, 17 bytes each: with nine peers in a round 9 KB a second while limits begin.
-pub const MOST_TOLD: usize = 8;
+pub const MAX_OBSERVATIONS: usize = 8;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,17 +80,17 @@
     pub fn of(word: &LimitObservation, now: Millis) -> Self {
         Self {
             limit: word.limit,
-            sent_ago_ms: (now - word.sent).as_u32(),
-            heard_ago_ms: (now - word.heard).as_u32(),
+            sent_ago_ms: (now - word.sent_at).as_u32(),
+            heard_ago_ms: (now - word.received_at).as_u32(),
         }
     }
 
     /// The word as it is heard now.
-    pub fn word(&self, now: Millis) -> LimitObservation {
+    pub fn observation(&self, now: Millis) -> LimitObservation {
         LimitObservation {
             limit: self.limit,
-            sent: now - Millis(self.sent_ago_ms.into()),
-            heard: now - Millis(self.heard_ago_ms.into()),
+            sent_at: now - Millis(self.sent_ago_ms.into()),
+            received_at: now - Millis(self.heard_ago_ms.into()),
         }
     }
 }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -15,7 +15,8 @@
 
 use self::limited::Limited;
 pub use self::message::{
-    decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation, MOST_TOLD,
+    decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation,
+    MAX_OBSERVATIONS,
 };
 pub use self::observation::LimitObservation;
 pub use self::permit_bucket::PermitBucket;
@@ -78,11 +79,11 @@
 
 impl Limits {
     /// An answer to a request came that was sent at a time; the limit in force, where that has changed.
-    pub fn hear(
+    pub fn record_answer(
         &mut self,
         target: Target,
         named: NamedLimit,
-        sent: Millis,
+        sent_at: Millis,
         now: Millis,
     ) -> Option<Option<Rate>> {
         let is_known = self.by_endpoint.contains_key(&target.endpoint);
@@ -93,11 +94,15 @@
             NamedLimit::None => None,
             NamedLimit::Rate(rate) => Some(rate),
         };
-        let heard = now;
-        let word = LimitObservation { limit, sent, heard };
+        let received_at = now;
+        let word = LimitObservation {
+            limit,
+            sent_at,
+            received_at,
+        };
         let limited = self.limited(target, now);
         let before = limited.limit(now);
-        if limited.own.is_none_or(|known| word.replaces(&known)) {
+        if limited.own.is_none_or(|known| word.supersedes(&known)) {
             if limited.own.and_then(|known| known.limit) != limit {
                 limited.changed = now;
             }
@@ -108,7 +113,7 @@
     }
 
     /// A peer told what an endpoint said to it; the limit in force, where that has changed.
-    pub fn hear_told(
+    pub fn record_peer_observation(
         &mut self,
         target: Target,
         word: LimitObservation,
@@ -120,7 +125,7 @@
         let limited = self.limited(target, now);
         let before = limited.limit(now);
         let known = limited.word(now);
-        if known.is_none_or(|known| word.replaces(&known)) {
+        if known.is_none_or(|known| word.supersedes(&known)) {
             limited.told = Some((word, now));
         }
         let after = limited.limit(now);
@@ -138,20 +143,20 @@
     }
 
     /// When a permit for a request of a band may be asked for at a limited endpoint; `None` where it has no limit.
-    pub fn ask_at(&self, endpoint: u32, band: usize, now: Millis) -> Option<Millis> {
+    pub fn permit_request_at(&self, endpoint: u32, band: usize, now: Millis) -> Option<Millis> {
         let limited = self.by_endpoint.get(&endpoint)?;
         limited.limit(now)?;
-        Some(limited.ask_at(band))
+        Some(limited.permit_request_at(band))
     }
 
     /// Endpoints that have a limit now.
-    pub fn count(&self, now: Millis) -> usize {
+    pub fn limited_endpoints(&self, now: Millis) -> usize {
         let all = self.by_endpoint.values();
         all.filter(|limited| limited.limit(now).is_some()).count()
     }
 
     /// Whether a peer is not asked for now.
-    pub fn is_unanswered(&self, peer: SocketAddr, now: Millis) -> bool {
+    pub fn is_unresponsive(&self, peer: SocketAddr, now: Millis) -> bool {
         self.unanswered.get(&peer).is_some_and(|until| now < *until)
     }
 
@@ -174,9 +179,9 @@
         if limited.use_kept(now) {
             return PermitDecision::Permitted;
         }
-        let ask_at = limited.ask_at(band);
-        if now < ask_at {
-            return PermitDecision::Wait(ask_at);
+        let permit_request_at = limited.permit_request_at(band);
+        if now < permit_request_at {
+            return PermitDecision::Wait(permit_request_at);
         }
         let until = match by {
             Coordinator::Own { part, is_settled } if !stands_still => {
@@ -199,7 +204,7 @@
     }
 
     /// The question to the coordinator of an endpoint, while so many requests wait for any permit.
-    pub fn question(
+    pub fn permit_request(
         &self,
         target: Target,
         number: u32,
@@ -221,12 +226,17 @@
     }
 
     /// Answers a question.
-    pub fn asked(&mut self, ask: &PermitRequest, by: Coordinator, now: Millis) -> PermitResponse {
+    pub fn handle_request(
+        &mut self,
+        ask: &PermitRequest,
+        by: Coordinator,
+        now: Millis,
+    ) -> PermitResponse {
         let (endpoint, zone) = (ask.endpoint, ask.zone);
         let target = Target { endpoint, zone };
-        let told = ask.word.map(|told| told.word(now));
+        let told = ask.word.map(|told| told.observation(now));
         if let Some(word) = told {
-            self.hear_told(target, word, now);
+            self.record_peer_observation(target, word, now);
         }
         let stands_still = self.stood_still(now);
         let limited = self.limited(target, now);
@@ -257,7 +267,7 @@
     }
 
     /// Takes an answer, `None` where `peer` gave none; whether it is a permit, and else whom to ask.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         target: Target,
         peer: SocketAddr,
@@ -270,30 +280,30 @@
         }
         let Some(answer) = answer else {
             self.unanswered.insert(peer, now + UNANSWERED);
-            return self.wait(target, 0, now + ASK_AGAIN);
+            return self.postpone(target, 0, now + ASK_AGAIN);
         };
         self.unanswered.remove(&peer);
         if let Some(told) = answer.word {
-            self.hear_told(target, told.word(now), now);
+            self.record_peer_observation(target, told.observation(now), now);
         }
         match answer.given {
-            PermitGrant::Permits(0) => self.wait(target, band, now + ASK_AGAIN),
+            PermitGrant::Permits(0) => self.postpone(target, band, now + ASK_AGAIN),
             PermitGrant::Permits(given) => {
                 if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
                     limited.kept = (u32::from(given) - 1, now + KEPT);
                 }
                 PermitDecision::Permitted
             }
-            PermitGrant::Nothing(ms) => self.wait(target, band, now + Millis(ms.into())),
-            PermitGrant::Elsewhere(other) if self.is_unanswered(other, now) => {
-                self.wait(target, 0, now + ASK_AGAIN)
+            PermitGrant::Nothing(ms) => self.postpone(target, band, now + Millis(ms.into())),
+            PermitGrant::Elsewhere(other) if self.is_unresponsive(other, now) => {
+                self.postpone(target, 0, now + ASK_AGAIN)
             }
             PermitGrant::Elsewhere(other) => PermitDecision::Ask(other),
         }
     }
 
     /// Nothing is asked for an endpoint before a time, for requests of a band and of less urgent ones.
-    pub fn wait(&mut self, target: Target, band: usize, until: Millis) -> PermitDecision {
+    pub fn postpone(&mut self, target: Target, band: usize, until: Millis) -> PermitDecision {
         if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
             limited.wait(band, until);
         }
@@ -313,20 +323,20 @@
             if limited.allowance.is_some() && (stood_still || !is_own(target)) {
                 limited.allowance = None;
             }
-            limited.limit(now).is_some() || now < limited.heard + FORGET
+            limited.limit(now).is_some() || now < limited.updated_at + FORGET
         });
     }
 
     /// The newest of what endpoints said to this entry since a time that was not as before.
-    pub fn news(&self, since: Millis, now: Millis) -> Vec<(u32, WireObservation)> {
+    pub fn recent_observations(&self, since: Millis, now: Millis) -> Vec<(u32, WireObservation)> {
         let changed = self.by_endpoint.iter();
         let changed = changed.filter(|(_, limited)| limited.changed >= since);
-        let mut news: Vec<(Millis, u32, LimitObservation)> = changed
+        let mut recent_observations: Vec<(Millis, u32, LimitObservation)> = changed
             .filter_map(|(endpoint, limited)| Some((limited.changed, *endpoint, limited.own?)))
             .collect();
-        news.sort_by_key(|(changed, ..)| std::cmp::Reverse(*changed));
-        news.truncate(MOST_TOLD);
-        let told = news.iter();
+        recent_observations.sort_by_key(|(changed, ..)| std::cmp::Reverse(*changed));
+        recent_observations.truncate(MAX_OBSERVATIONS);
+        let told = recent_observations.iter();
         told.map(|(_, endpoint, word)| (*endpoint, WireObservation::of(word, now)))
             .collect()
     }
@@ -350,7 +360,7 @@
         self.make_room(target.endpoint);
         let limited = self.by_endpoint.entry(target.endpoint).or_default();
         limited.zone = target.zone.or(limited.zone);
-        limited.heard = now;
+        limited.updated_at = now;
         limited
     }
 
@@ -361,7 +371,7 @@
             return;
         }
         let all = self.by_endpoint.iter();
-        let oldest = all.min_by_key(|(_, limited)| limited.heard);
+        let oldest = all.min_by_key(|(_, limited)| limited.updated_at);
         if let Some(endpoint) = oldest.map(|(endpoint, _)| *endpoint) {
             self.by_endpoint.remove(&endpoint);
         }
--- a/src/direct/limits/observation.rs
+++ b/src/direct/limits/observation.rs
@@ -9,9 +9,9 @@
     /// The limit; `None` where the answer names none.
     pub limit: Option<Rate>,
     /// When the request was sent: the endpoint said it later.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// When the answer came: the endpoint said it earlier.
-    pub heard: Millis,
+    pub received_at: Millis,
 }
 
 impl LimitObservation {
@@ -19,12 +19,12 @@
     ///
     /// Answers come in another order than endpoints make them. A lower limit counts unless it was certainly said
     /// before the other; a higher one, or none, only where it was certainly said after it.
-    pub fn replaces(&self, known: &Self) -> bool {
+    pub fn supersedes(&self, known: &Self) -> bool {
         match (self.limit, known.limit) {
-            (own, other) if own == other => self.heard >= known.heard,
-            (Some(own), Some(other)) if own < other => self.heard >= known.sent,
-            (Some(_), None) => self.heard >= known.sent,
-            _ => self.sent >= known.heard,
+            (own, other) if own == other => self.received_at >= known.received_at,
+            (Some(own), Some(other)) if own < other => self.received_at >= known.sent_at,
+            (Some(_), None) => self.received_at >= known.sent_at,
+            _ => self.sent_at >= known.received_at,
         }
     }
 }
--- a/src/sidecar/limited.rs
+++ b/src/sidecar/limited.rs
@@ -15,17 +15,21 @@
 
 impl Sidecar {
     /// Takes what an answer to a call says of a limit.
-    pub fn limited(&self, named: NamedLimit, sent: Millis) {
-        let heard = self.node.clock.now();
+    pub fn limited(&self, named: NamedLimit, sent_at: Millis) {
+        let received_at = self.node.clock.now();
         let limit = match named {
             NamedLimit::Unreadable => return,
             NamedLimit::None => None,
             NamedLimit::Rate(rate) => Some(rate),
         };
-        let word = LimitObservation { limit, sent, heard };
+        let word = LimitObservation {
+            limit,
+            sent_at,
+            received_at,
+        };
         let mut limited = self.limited.borrow_mut();
         let known = limited.map(|limited| limited.word);
-        if known.map_or(limit.is_none(), |known| !word.replaces(&known)) {
+        if known.map_or(limit.is_none(), |known| !word.supersedes(&known)) {
             return;
         }
         if known.and_then(|known| known.limit) != limit {
@@ -34,7 +38,7 @@
         let allowance = limited.map(|limited| limited.allowance);
         *limited = Some(Limited {
             word,
-            allowance: allowance.unwrap_or_else(|| PermitBucket::empty_until(heard)),
+            allowance: allowance.unwrap_or_else(|| PermitBucket::empty_until(received_at)),
         });
     }
 
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -97,7 +97,7 @@
 fn stood_still() {
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
-    limits.hear(
+    limits.record_answer(
         TARGET,
         NamedLimit::Rate(Rate(1_000)),
         Millis(1_000),
@@ -133,22 +133,22 @@
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
     let mut asker = Limits::default();
-    asker.hear(
+    asker.record_answer(
         TARGET,
         NamedLimit::Rate(Rate(1_000)),
         Millis(900),
         Millis(950),
     );
-    let ask = asker.question(TARGET, 1, 0, 0, Millis(1_000));
+    let ask = asker.permit_request(TARGET, 1, 0, 0, Millis(1_000));
     let other = ([10, 0, 0, 9], 7_000).into();
-    let answer = limits.asked(&ask, Coordinator::Peer(other), Millis(1_001));
+    let answer = limits.handle_request(&ask, Coordinator::Peer(other), Millis(1_001));
     assert_eq!(answer.given, PermitGrant::Elsewhere(other));
-    let answer = limits.asked(&ask, OWN, Millis(1_001));
+    let answer = limits.handle_request(&ask, OWN, Millis(1_001));
     assert_eq!(answer.given, PermitGrant::Permits(1));
-    limits.hear(TARGET, NamedLimit::None, Millis(1_002), Millis(1_010));
-    let ask = asker.question(TARGET, 2, 0, 0, Millis(1_012));
-    let answer = limits.asked(&ask, OWN, Millis(1_012));
-    asker.answered(TARGET, other, Some(&answer), 0, Millis(1_014));
+    limits.record_answer(TARGET, NamedLimit::None, Millis(1_002), Millis(1_010));
+    let ask = asker.permit_request(TARGET, 2, 0, 0, Millis(1_012));
+    let answer = limits.handle_request(&ask, OWN, Millis(1_012));
+    asker.handle_response(TARGET, other, Some(&answer), 0, Millis(1_014));
     assert_eq!(asker.limit(TARGET.endpoint, Millis(1_014)), None);
 }
 
@@ -156,13 +156,13 @@
 #[test]
 fn no_answer() {
     let mut limits = Limits::default();
-    limits.hear(TARGET, NamedLimit::Rate(Rate(1_000)), Millis(0), Millis(10));
+    limits.record_answer(TARGET, NamedLimit::Rate(Rate(1_000)), Millis(0), Millis(10));
     let peer = ([10, 0, 0, 9], 7_000).into();
     let step = limits.decide(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
     assert_eq!(step, PermitDecision::Ask(peer));
-    let step = limits.answered(TARGET, peer, None, 0, Millis(1_150));
+    let step = limits.handle_response(TARGET, peer, None, 0, Millis(1_150));
     assert!(matches!(step, PermitDecision::Wait(_)));
-    assert!(limits.is_unanswered(peer, Millis(1_500)));
+    assert!(limits.is_unresponsive(peer, Millis(1_500)));
 }
 
 /// Books of three entries, one in each of two zones and one more, that hear each other at a time.
--- a/tests/limit_words.rs
+++ b/tests/limit_words.rs
@@ -18,8 +18,8 @@
 /// The limit in force after some answers: what each names, when its request was sent, and when it came.
 fn after(answers: &[(NamedLimit, u64, u64)]) -> Option<Rate> {
     let mut limits = Limits::default();
-    for (named, sent, heard) in answers {
-        limits.hear(ENDPOINT, *named, Millis(*sent), Millis(*heard));
+    for (named, sent_at, received_at) in answers {
+        limits.record_answer(ENDPOINT, *named, Millis(*sent_at), Millis(*received_at));
     }
     limits.limit(ENDPOINT.endpoint, Millis(60))
 }
@@ -65,22 +65,22 @@
 /// A peer's word of a limit counts for some seconds; its word that the limit has ended counts until an answer names one.
 #[test]
 fn peers_words() {
-    let word = |limit: Option<u32>, sent, heard| LimitObservation {
+    let word = |limit: Option<u32>, sent_at, received_at| LimitObservation {
         limit: limit.map(Rate),
-        sent: Millis(sent),
-        heard: Millis(heard),
+        sent_at: Millis(sent_at),
+        received_at: Millis(received_at),
     };
     let mut limits = Limits::default();
-    limits.hear_told(ENDPOINT, word(Some(1_000), 10, 20), Millis(30));
+    limits.record_peer_observation(ENDPOINT, word(Some(1_000), 10, 20), Millis(30));
     assert_eq!(limits.limit(7, Millis(29_000)), Some(Rate(1_000)));
     assert_eq!(limits.limit(7, Millis(31_000)), None);
-    limits.hear(ENDPOINT, named(3_000), Millis(31_000), Millis(31_010));
+    limits.record_answer(ENDPOINT, named(3_000), Millis(31_000), Millis(31_010));
     // The forged word of a peer closes the endpoint for a time at most.
-    limits.hear_told(ENDPOINT, word(Some(0), 31_500, 31_510), Millis(31_520));
+    limits.record_peer_observation(ENDPOINT, word(Some(0), 31_500, 31_510), Millis(31_520));
     assert_eq!(limits.limit(7, Millis(32_000)), Some(Rate(0)));
     assert_eq!(limits.limit(7, Millis(62_000)), Some(Rate(3_000)));
-    limits.hear_told(ENDPOINT, word(None, 63_000, 63_010), Millis(63_020));
+    limits.record_peer_observation(ENDPOINT, word(None, 63_000, 63_010), Millis(63_020));
     assert_eq!(limits.limit(7, Millis(120_000)), None);
-    limits.hear(ENDPOINT, named(2_000), Millis(121_000), Millis(121_010));
+    limits.record_answer(ENDPOINT, named(2_000), Millis(121_000), Millis(121_010));
     assert_eq!(limits.limit(7, Millis(121_010)), Some(Rate(2_000)));
 }
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -248,9 +248,9 @@
                 self.at(self.now + WAY, Event::Hello(to, i, Box::new(hello)));
             }
             let since = self.members[i].book.notices_since(tell.covers, now);
-            let news = self.members[i].limits.news(since, now);
-            if !news.is_empty() {
-                self.send(i, to, Message::Told(news));
+            let recent_observations = self.members[i].limits.recent_observations(since, now);
+            if !recent_observations.is_empty() {
+                self.send(i, to, Message::Told(recent_observations));
             }
         }
     }
@@ -317,7 +317,7 @@
                     zone: ask.zone,
                 };
                 let by = self.coordinator(i, target, false);
-                let answer = self.members[i].limits.asked(&ask, by, now);
+                let answer = self.members[i].limits.handle_request(&ask, by, now);
                 self.send(i, from, Message::Answer(answer));
             }
             Message::Answer(answer) => {
@@ -325,14 +325,16 @@
                     let t = target(question.engine, self.day.zones);
                     let (peer, band) = (address(question.peer), question.asked.band);
                     let limits = &mut self.members[i].limits;
-                    let step = limits.answered(t, peer, Some(&answer), band, now);
+                    let step = limits.handle_response(t, peer, Some(&answer), band, now);
                     self.steps(question.asked, question.engine, step, question.hops);
                 }
             }
             Message::Told(told) => {
                 for (endpoint, word) in told {
                     let t = target(endpoint as usize - 1, self.day.zones);
-                    self.members[i].limits.hear_told(t, word.word(now), now);
+                    self.members[i]
+                        .limits
+                        .record_peer_observation(t, word.observation(now), now);
                 }
             }
         }
@@ -341,11 +343,11 @@
     fn coordinator(&self, i: usize, t: Target, asks: bool) -> Coordinator {
         let now = self.time();
         let member = &self.members[i];
-        let is_unanswered = |peer| asks && member.limits.is_unanswered(peer, now);
+        let is_unresponsive = |peer| asks && member.limits.is_unresponsive(peer, now);
         let started = Millis(member.started);
         member
             .book
-            .coordinator(t.endpoint, t.zone, started, now, is_unanswered)
+            .coordinator(t.endpoint, t.zone, started, now, is_unresponsive)
     }
 
     fn pick_entry(&mut self) -> usize {
@@ -379,18 +381,21 @@
         }
         let now = self.time();
         let engines = 0..self.day.limited + self.day.free;
-        let ask_at = |engine: usize| {
+        let permit_request_at = |engine: usize| {
             let endpoint = target(engine, 1).endpoint;
-            member.limits.ask_at(endpoint, asked.band, now)
+            member.limits.permit_request_at(endpoint, asked.band, now)
         };
         let keeps = self.day.keeps;
-        let is_open = |engine: &usize| match ask_at(*engine) {
+        let is_open = |engine: &usize| match permit_request_at(*engine) {
             Some(at) if keeps => at <= now && asked.refusals < MOST_REFUSALS,
             _ => true,
         };
         let open: Vec<usize> = engines.clone().filter(is_open).collect();
         if open.is_empty() {
-            let first = engines.filter_map(ask_at).min().unwrap_or(Millis(0));
+            let first = engines
+                .filter_map(permit_request_at)
+                .min()
+                .unwrap_or(Millis(0));
             let at = first.0.max(self.now) + 5 * (1 + asked.band as u64);
             if at > asked.came + WAITS {
                 self.refused += 1;
@@ -428,7 +433,7 @@
                 let number = member.next;
                 let ask = member
                     .limits
-                    .question(t, number, asked.band, member.waiting, now);
+                    .permit_request(t, number, asked.band, member.waiting, now);
                 let question = Question {
                     asked,
                     engine,
@@ -455,7 +460,7 @@
             let t = target(question.engine, self.day.zones);
             let (now, peer) = (self.time(), address(question.peer));
             let limits = &mut self.members[i].limits;
-            let step = limits.answered(t, peer, None, question.asked.band, now);
+            let step = limits.handle_response(t, peer, None, question.asked.band, now);
             self.steps(question.asked, question.engine, step, question.hops);
         }
     }
@@ -482,7 +487,9 @@
             false => NamedLimit::None,
         };
         let t = target(engine, self.day.zones);
-        member.limits.hear(t, named, Millis(sent), Millis(self.now));
+        member
+            .limits
+            .record_answer(t, named, Millis(sent), Millis(self.now));
         if engine < self.day.limited {
             member.told.entry(engine).or_insert(self.now);
         }
