--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -101,7 +101,7 @@
     }
 
     /// A connection to an endpoint that waits for use.
-    pub fn idle_channel(&self, key: EndpointKey) -> Option<Channel> {
+    pub fn take_idle_connection(&self, key: EndpointKey) -> Option<Channel> {
         let now = self.clock.now();
         let mut accounts = self.accounts.borrow_mut();
         let idle = &mut accounts.get_mut(key)?.idle;
@@ -114,7 +114,7 @@
     }
 
     /// Keeps a connection for another request.
-    pub fn keep_channel(&self, key: EndpointKey, mut channel: Channel) {
+    pub fn keep_connection(&self, key: EndpointKey, mut channel: Channel) {
         channel.idle_since = self.clock.now();
         let mut accounts = self.accounts.borrow_mut();
         if let Some(account) = accounts.get_mut(key) {
@@ -254,7 +254,7 @@
 
     /// Runs were lost with an endpoint.
     fn runs_ended_with(&self, key: EndpointKey, sign: EndSign, lost: &[LostRun]) {
-        self.gauges.runs_ended(sign, lost.len() as u64);
+        self.metrics.runs_ended(sign, lost.len() as u64);
         let mut endpoint = String::new();
         let mut pool = String::new();
         let mut life = 0;
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -8,7 +8,12 @@
 
 impl Entry {
     /// An endpoint announced something of itself in an answer to a request.
-    pub fn endpoint_announced(&self, key: EndpointKey, announcement: Announcement, request: &[u8]) {
+    pub fn record_announcement(
+        &self,
+        key: EndpointKey,
+        announcement: Announcement,
+        request: &[u8],
+    ) {
         if announcement.is_empty() {
             return;
         }
@@ -28,11 +33,11 @@
             }
         });
         if announcement.leaves && !before.leaves {
-            self.gauges.announced(Unwilling::Leaves);
+            self.metrics.announced(Unwilling::Leaves);
             self.log_announced(request, &endpoint, Unwilling::Leaves, None);
         }
         if let Some(rest) = announcement.rest {
-            self.gauges.announced(Unwilling::Rests);
+            self.metrics.announced(Unwilling::Rests);
             self.log_announced(request, &endpoint, Unwilling::Rests, Some(rest));
         }
     }
@@ -48,7 +53,7 @@
     }
 
     /// Why an endpoint wants no requests now, by its own announcements.
-    pub fn unwilling(&self, key: EndpointKey) -> Option<Unwilling> {
+    pub fn decline_reason(&self, key: EndpointKey) -> Option<Unwilling> {
         let now = self.clock.now();
         self.directory().get(key)?.announced.standing(now)
     }
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -52,25 +52,25 @@
     }
 
     /// Revision of the store up to which the list of endpoints is complete here.
-    pub fn listed_up_to(&self) -> Revision {
-        self.listed_up_to.get()
+    pub fn list_revision(&self) -> Revision {
+        self.list_revision.get()
     }
 
     /// Revision of the store up to which the configuration in force is known to be the newest.
-    pub fn catalog_up_to(&self) -> Revision {
-        self.catalog_up_to.get()
+    pub fn catalog_revision(&self) -> Revision {
+        self.catalog_revision.get()
     }
 
     /// Revision of the store up to which everything has been applied.
     pub fn applied(&self) -> Revision {
-        self.listed_up_to.get().min(self.catalog_up_to.get())
+        self.list_revision.get().min(self.catalog_revision.get())
     }
 
     /// Takes a configuration if it is newer than the one in force; nothing ever goes back.
     ///
     /// A proof stays good: what was the newest at some time had no successor then, and so had no
     /// later version.
-    pub fn take_catalog(&self, catalog: Box<Catalog>, from: &str) {
+    pub fn apply_catalog(&self, catalog: Box<Catalog>, from: &str) {
         if catalog.version <= self.version() {
             return;
         }
@@ -82,10 +82,10 @@
     }
 
     /// Takes what a peer passed on, as far as it is newer; false when it does not lead on from here.
-    pub fn take_newer(&self, newer: Newer, from: &str) -> bool {
+    pub fn apply_newer_catalog(&self, newer: Newer, from: &str) -> bool {
         let (patches, written) = match newer {
             Newer::Whole(catalog) => {
-                self.take_catalog(catalog, from);
+                self.apply_catalog(catalog, from);
                 return true;
             }
             Newer::Patches(patches, written) => (patches, written),
@@ -127,10 +127,10 @@
     ///
     /// When the store has dropped its history, its watchers list anew; their peers would have to as well
     /// if the changes that they keep began after that.
-    pub fn take_listing(&self, listed: impl Into<Listing>, begun: Revision) {
+    pub fn apply_listing(&self, listed: impl Into<Listing>, begun: Revision) {
         let mut listed: Listing = listed.into();
         let now = self.clock.now();
-        let before = self.listed_up_to.get();
+        let before = self.list_revision.get();
         // Changes that came while the listing was read may have removed what it still holds.
         let directory = self.directory.borrow();
         let is_known = |id: &str| directory.key(id).is_some();
@@ -153,8 +153,8 @@
     ///
     /// Those that the list holds already are left out: an older entry of an endpoint that has left
     /// meanwhile would bring it back.
-    pub fn take_changes(&self, changes: Vec<Change>, up_to: Revision) {
-        self.take_passed_on(PassedOn {
+    pub fn apply_changes(&self, changes: Vec<Change>, up_to: Revision) {
+        self.apply_peer_changes(PassedOn {
             changes,
             up_to,
             spans: Vec::new(),
@@ -163,14 +163,14 @@
 
     /// Takes the changes that a peer passed on. The list may have got further since the peer was asked, into a span that
     /// the peer knows from a listing: they do not lead on from here then, and the store is asked.
-    pub fn take_passed_on(&self, passed: PassedOn) {
-        let before = self.listed_up_to.get();
+    pub fn apply_peer_changes(&self, passed: PassedOn) {
+        let before = self.list_revision.get();
         let PassedOn { up_to, .. } = passed;
         if up_to <= before {
             return;
         }
         if !passed.leads_on_from(before) {
-            self.watch_again.notify_one();
+            self.rewatch_requested.notify_one();
             return;
         }
         let mut changes = passed.changes;
@@ -186,8 +186,8 @@
     }
 
     /// Logs where the list of endpoints comes from, if that took it beyond a revision.
-    pub fn log_list_known(&self, after: Revision, from: &str) {
-        let up_to = self.listed_up_to.get();
+    pub fn log_list_advanced(&self, after: Revision, from: &str) {
+        let up_to = self.list_revision.get();
         if up_to > after {
             let from = from.into();
             self.log.belief(Decision::ListKnown { from, after, up_to });
@@ -242,7 +242,7 @@
     }
 
     /// The store had these cordons at a revision.
-    pub fn take_cordons(&self, all: Vec<Cordon>, revision: Revision) {
+    pub fn apply_cordons(&self, all: Vec<Cordon>, revision: Revision) {
         let directory = self.directory.borrow();
         let changes = directory.cordon_changes_to(&all, 0, revision);
         drop(directory);
@@ -252,8 +252,8 @@
     }
 
     /// An entry of the store can't be read: it is counted, and logged when it is seen first.
-    pub fn found_unreadable(&self, found: Unreadable) {
-        self.gauges.unreadable();
+    pub fn report_unreadable(&self, found: Unreadable) {
+        self.metrics.unreadable();
         let mut known = self.unreadable.borrow_mut();
         if known.len() < MOST_UNREADABLE && known.insert(found.key.clone()) {
             self.log.belief(Decision::EntryUnreadable {
@@ -264,11 +264,11 @@
     }
 
     /// The configuration in force is the newest up to a revision.
-    pub fn catalog_known_up_to(&self, revision: Revision) {
-        self.catalog_up_to
-            .set(self.catalog_up_to.get().max(revision));
+    pub fn confirm_catalog_at(&self, revision: Revision) {
+        self.catalog_revision
+            .set(self.catalog_revision.get().max(revision));
         if let Some((asked, wanted)) = self.unproven.get() {
-            if wanted <= self.catalog_up_to.get() {
+            if wanted <= self.catalog_revision.get() {
                 self.unproven.set(None);
                 self.prove(asked);
             }
@@ -278,7 +278,7 @@
     /// The store was at `revision` when asked at `asked`; false while the configuration in force is
     /// not known to be the newest up to there.
     pub fn prove_up_to(&self, asked: Millis, revision: Revision) -> bool {
-        let is_known = self.catalog_up_to.get() >= revision;
+        let is_known = self.catalog_revision.get() >= revision;
         if is_known {
             self.prove(asked);
         } else {
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -77,7 +77,7 @@
 
 impl Entry {
     /// An endpoint answered a request that was sent at a time; what it names counts.
-    pub fn endpoint_limited(
+    pub fn record_announced_limit(
         &self,
         key: EndpointKey,
         named: NamedLimit,
@@ -115,13 +115,13 @@
     }
 
     /// Counts a request as waiting for a permit until the guard is dropped.
-    pub fn wait_for_permits(self: &Rc<Self>) -> Waiting {
+    pub fn count_waiting_for_permit(self: &Rc<Self>) -> Waiting {
         self.waiting.set(self.waiting.get() + 1);
         Waiting(Rc::clone(self))
     }
 
     /// A permit to send a request of a band to an endpoint now, where that needs one.
-    pub async fn permit(&self, key: EndpointKey, band: usize) -> PermitDecision {
+    pub async fn request_permit(&self, key: EndpointKey, band: usize) -> PermitDecision {
         let Some(target) = self.target(key) else {
             return PermitDecision::Unlimited;
         };
@@ -137,7 +137,7 @@
             };
             step = self.ask(peer, target, band).await;
         }
-        self.gauges.permit(&step);
+        self.metrics.permit(&step);
         step
     }
 
@@ -152,7 +152,7 @@
             self.waiting.get(),
             now,
         );
-        self.send_limits(peer, &Message::Ask(ask));
+        self.send_limit_message(peer, &Message::Ask(ask));
         let answer = self.clock.timeout_at(now + ANSWER_TIME, rx).await;
         let answer = answer.and_then(Result::ok);
         drop(question);
@@ -162,7 +162,7 @@
     }
 
     /// Takes a datagram on limits.
-    pub fn take_limits(&self, from: SocketAddr, message: Message) {
+    pub fn handle_limit_message(&self, from: SocketAddr, message: Message) {
         match message {
             Message::Ask(ask) => self.answer_ask(from, &ask),
             Message::Answer(answer) => self.questions.answered(from, answer),
@@ -184,7 +184,7 @@
         let now = self.clock.now();
         let by = self.coordinator(target);
         let answer = self.limits.borrow_mut().handle_request(ask, by, now);
-        self.send_limits(from, &Message::Answer(answer));
+        self.send_limit_message(from, &Message::Answer(answer));
     }
 
     /// A peer told what an endpoint said to it.
@@ -205,7 +205,7 @@
     }
 
     /// A round: forgets what is over, and gives out no more where another entry decides.
-    pub fn round_limits(&self) {
+    pub fn update_limit_coordination(&self) {
         let now = self.clock.now();
         let is_leaving = self.life() != super::Life::Serving;
         self.peers.borrow_mut().note_serving(is_leaving, now);
@@ -214,7 +214,7 @@
     }
 
     /// Sends a datagram on limits. One that is lost is made up for: the question is asked again, and words are told again.
-    pub fn send_limits(&self, to: SocketAddr, message: &Message) {
+    pub fn send_limit_message(&self, to: SocketAddr, message: &Message) {
         let (Some(link), Some(bytes)) = (self.link.get(), limits::encode(message)) else {
             return;
         };
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -70,7 +70,7 @@
     /// Decision log.
     pub log: DecisionLog,
     /// Counters.
-    pub gauges: Gauges,
+    pub metrics: Gauges,
     /// Other entries.
     pub peers: RefCell<PeerBook>,
     /// What endpoints keep of prompts.
@@ -96,11 +96,11 @@
     /// Wakes requests that wait for one of their kind.
     pub quarantine_changed: Notify,
     /// Wakes the task that tells peers.
-    pub tell_now: Notify,
+    pub gossip_requested: Notify,
     /// Wakes the watch to read everything anew.
-    pub list_again: Notify,
+    pub relist_requested: Notify,
     /// Has the watch asked again on a new connection: the one that waits may have lost its answer.
-    pub watch_again: Notify,
+    pub rewatch_requested: Notify,
     /// Since when a peer has applied changes that this entry has not, and up to which revision.
     behind: Cell<Option<(Millis, Revision)>>,
     accounts: RefCell<Accounts>,
@@ -112,9 +112,9 @@
     versions: RefCell<VersionLog>,
     freshness: Cell<Freshness>,
     /// Revision of the store up to which the list of endpoints is complete here.
-    listed_up_to: Cell<Revision>,
+    list_revision: Cell<Revision>,
     /// Revision of the store up to which the configuration in force is known to be the newest.
-    catalog_up_to: Cell<Revision>,
+    catalog_revision: Cell<Revision>,
     /// When the store was asked, and the revision that is to be applied before that is a proof.
     unproven: Cell<Option<(Millis, Revision)>>,
     /// Whether the endpoints have been listed whole once.
@@ -156,7 +156,7 @@
             dialect,
             id: PeerId(rand::random()),
             log,
-            gauges: Gauges::new(),
+            metrics: Gauges::new(),
             peers: RefCell::new(peers),
             prefixes: RefCell::default(),
             placements: RefCell::default(),
@@ -169,9 +169,9 @@
             retries: RefCell::default(),
             quarantine: RefCell::new(Quarantine::started_at(clock.now())),
             quarantine_changed: Notify::new(),
-            tell_now: Notify::new(),
-            list_again: Notify::new(),
-            watch_again: Notify::new(),
+            gossip_requested: Notify::new(),
+            relist_requested: Notify::new(),
+            rewatch_requested: Notify::new(),
             behind: Cell::default(),
             accounts: RefCell::default(),
             directory: RefCell::default(),
@@ -179,8 +179,8 @@
             missing_since: Cell::default(),
             versions: RefCell::default(),
             freshness: Cell::default(),
-            listed_up_to: Cell::default(),
-            catalog_up_to: Cell::default(),
+            list_revision: Cell::default(),
+            catalog_revision: Cell::default(),
             unproven: Cell::default(),
             listed: Cell::default(),
             store_answers: Cell::default(),
@@ -248,14 +248,14 @@
 
     /// The machine was suspended for a time, while the runtime's timers stood still: whatever waits for the store may wait
     /// for an answer that was lost meanwhile.
-    pub fn resumed(&self, time: Millis) {
+    pub fn handle_resume(&self, time: Millis) {
         let note = format!("after {} ms in which the machine was suspended", time.0);
         self.log_process("resumed", &note);
-        self.watch_again.notify_one();
+        self.rewatch_requested.notify_one();
     }
 
     /// Begins a planned stop; a second call changes nothing.
-    pub fn stop(&self, why: &str) {
+    pub fn begin_stop(&self, why: &str) {
         if self.life() == Life::Serving {
             self.log_process("stopping", why);
             self.life.send_replace(Life::Lingering);
@@ -276,31 +276,31 @@
     }
 
     /// Sets the gauges to what is true now.
-    pub fn set_gauges(&self) {
+    pub fn update_metrics(&self) {
         let now = self.clock.now();
-        let gauges = &self.gauges;
-        gauges.set("catalog_version", self.version());
-        gauges.set("applied_revision", self.applied());
+        let metrics = &self.metrics;
+        metrics.set("catalog_version", self.version());
+        metrics.set("applied_revision", self.applied());
         let behind = self
             .behind
             .get()
             .map_or(Millis(0), |(since, _)| now - since);
-        gauges.set("behind_ms", behind.0);
-        gauges.set("entries", self.peers.borrow().entries(now) as u64);
-        gauges.set("in_flight", self.in_flight.get());
-        gauges.set("ready", u64::from(self.is_ready()));
-        gauges.set(
+        metrics.set("behind_ms", behind.0);
+        metrics.set("entries", self.peers.borrow().entries(now) as u64);
+        metrics.set("in_flight", self.in_flight.get());
+        metrics.set("ready", u64::from(self.is_ready()));
+        metrics.set(
             "proof_age_ms",
             self.proof_age().map_or(u64::MAX, |age| age.0),
         );
         let quarantine = self.quarantine.borrow();
-        gauges.set("requests_suspected", quarantine.len() as u64);
-        gauges.set("requests_refused", quarantine.refused(now).len() as u64);
-        gauges.set(
+        metrics.set("requests_suspected", quarantine.len() as u64);
+        metrics.set("requests_refused", quarantine.refused(now).len() as u64);
+        metrics.set(
             "limited_endpoints",
             self.limits.borrow().limited_endpoints(now) as u64,
         );
-        gauges.set("endpoints", self.directory.borrow().iter().count() as u64);
+        metrics.set("endpoints", self.directory.borrow().iter().count() as u64);
     }
 }
 
--- a/src/direct/entry/store.rs
+++ b/src/direct/entry/store.rs
@@ -35,7 +35,7 @@
 
 impl Entry {
     /// A piece of a large answer of the store came.
-    pub fn large_answer_arrives(&self) {
+    pub fn record_large_answer_piece(&self) {
         let now = self.clock.now();
         let since = self.arriving().map_or(now, |answer| answer.since);
         self.large_answer
@@ -50,12 +50,12 @@
     }
 
     /// Whether a large answer of the store is on its way.
-    pub fn reads_large(&self) -> bool {
+    pub fn is_reading_large_answer(&self) -> bool {
         self.arriving().is_some()
     }
 
     /// Whether one is on its way that has not taken too long.
-    pub fn is_excused(&self) -> bool {
+    pub fn is_stale_proof_excused(&self) -> bool {
         let now = self.clock.now();
         let arriving = self.arriving();
         arriving.is_some_and(|answer| now - answer.since < LARGE_TIME)
@@ -67,7 +67,7 @@
         self.directory.borrow_mut().list_answers(now);
         let before = self.store_answers.replace(Some(true));
         if before == Some(false) {
-            self.watch_again.notify_one();
+            self.rewatch_requested.notify_one();
         }
         if before != Some(true) {
             self.log.belief(Decision::Store {
@@ -97,14 +97,14 @@
 
     /// The whole list as it is known here, for a peer.
     pub fn whole_list(&self) -> PassedOn {
-        PassedOn::of_listing(self.directory.borrow().listing(), self.listed_up_to.get())
+        PassedOn::of_listing(self.directory.borrow().listing(), self.list_revision.get())
     }
 
     /// Takes the whole list of a peer that is ahead.
-    pub fn take_whole_list(&self, passed: PassedOn) {
+    pub fn apply_peer_list(&self, passed: PassedOn) {
         let up_to = passed.up_to;
-        if up_to > self.listed_up_to.get() {
-            self.take_listing(passed.into_listing(), up_to);
+        if up_to > self.list_revision.get() {
+            self.apply_listing(passed.into_listing(), up_to);
         }
     }
 
@@ -115,24 +115,24 @@
 
     /// Whether a peer may have the changes that lead on from here: it has more, and did not say that it lacks them.
     pub fn may_have_changes(&self, peer: SocketAddr, revision: Revision, after: Revision) -> bool {
-        let listed = self.listed_up_to.get();
+        let listed = self.list_revision.get();
         revision > listed && after <= listed && !self.unkept.borrow().contains(&peer)
     }
 
     /// A peer does not keep the changes that lead on from here. It is not asked for them again, and the store is.
-    pub fn changes_not_kept(&self, peer: SocketAddr) {
+    pub fn mark_changes_unavailable(&self, peer: SocketAddr) {
         self.unkept.borrow_mut().insert(peer);
-        self.watch_again.notify_one();
+        self.rewatch_requested.notify_one();
     }
 
     /// The list is complete up to a later revision.
     pub(super) fn list_advanced(&self, up_to: Revision) {
-        self.listed_up_to.set(up_to);
+        self.list_revision.set(up_to);
         self.unkept.borrow_mut().clear();
     }
 
     /// Whether the last call to the store failed.
-    pub fn store_is_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.store_answers.get() == Some(false)
     }
 
@@ -140,20 +140,20 @@
     ///
     /// A watch whose answer was lost waits in silence while peers' proofs keep the configuration
     /// fresh, so the list of endpoints would grow old unnoticed.
-    pub fn peer_applied(&self, revision: Revision) {
+    pub fn note_peer_list_revision(&self, revision: Revision) {
         let now = self.clock.now();
-        let listed = self.listed_up_to.get();
+        let listed = self.list_revision.get();
         let behind = self.behind.get().filter(|(_, missing)| listed < *missing);
         let behind = behind.or_else(|| (revision > listed).then_some((now, revision)));
         self.behind.set(behind);
         if behind.is_some_and(|(since, _)| now - since >= BEHIND) {
             self.behind.set(None);
-            self.watch_again.notify_one();
+            self.rewatch_requested.notify_one();
         }
     }
 
     /// A peer has this version of the configuration.
-    pub fn peer_has_version(&self, version: u64) {
+    pub fn note_peer_catalog_version(&self, version: u64) {
         if version > self.version() && self.missing_since.get().is_none() {
             self.missing_since.set(Some(self.clock.now()));
         }
@@ -161,7 +161,7 @@
 
     /// Whether peers watch the store for this entry and it has their version, or has missed it for
     /// less than [`PEERS_TIME`].
-    pub fn peers_bring_catalog(&self) -> bool {
+    pub fn can_get_catalog_from_peers(&self) -> bool {
         let now = self.clock.now();
         let missing = self.missing_since.get();
         let keeps_up = missing.is_none_or(|since| now - since < PEERS_TIME);
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -36,7 +36,7 @@
     pub fn suspect_began(&self, request: Fingerprint, at: Millis) {
         let change = self.quarantine.borrow_mut().began(request, at, at);
         self.changed(request, change);
-        self.tell_now.notify_one();
+        self.gossip_requested.notify_one();
     }
 
     /// An endpoint finished a request.
@@ -45,12 +45,12 @@
         let change = self.quarantine.borrow_mut().finished(request, now, now);
         if change == Change::Cleared {
             self.changed(request, change);
-            self.tell_now.notify_one();
+            self.gossip_requested.notify_one();
         }
     }
 
     /// Takes what a peer tells of requests under suspicion.
-    pub fn take_notices(&self, notices: &[Notice]) {
+    pub fn apply_notices(&self, notices: &[Notice]) {
         let now = self.clock.now();
         for notice in notices {
             let mut among = None;
@@ -98,7 +98,7 @@
             drop(quarantine);
             self.changed(run.request, change);
         }
-        self.tell_now.notify_one();
+        self.gossip_requested.notify_one();
     }
 
     /// Logs what changed and wakes those that wait for it. Peers that hear that a request is refused tell it on at
@@ -107,7 +107,7 @@
         match change {
             Change::None => return,
             Change::Refused { ends, until } => {
-                self.tell_now.notify_one();
+                self.gossip_requested.notify_one();
                 let for_ms = (until - self.clock.now()).0;
                 self.log_refused(request, ends, for_ms);
             }
@@ -153,7 +153,7 @@
                 Err(_) => {}
                 Ok(channel) => {
                     entry.account(key, |account| account.connected(begun));
-                    entry.keep_channel(key, channel);
+                    entry.keep_connection(key, channel);
                 }
             }
             entry.account(key, Account::end_check);
--- a/src/direct/fetch.rs
+++ b/src/direct/fetch.rs
@@ -24,7 +24,7 @@
     match ask(&entry, from, Document::Catalog, query).await {
         Ok((status, body)) if status.is_success() => match versions::decode(&body) {
             Some(newer) => {
-                if !entry.take_newer(newer, &from.to_string()) {
+                if !entry.apply_newer_catalog(newer, &from.to_string()) {
                     tracing::debug!(%from, "a peer's patches do not lead on from here");
                 }
             }
@@ -41,23 +41,23 @@
 
 /// Takes the changes of the list that a peer has and this entry has not.
 pub async fn changes(entry: Rc<Entry>, from: SocketAddr) {
-    let query = ready::changes_query(entry.listed_up_to());
+    let query = ready::changes_query(entry.list_revision());
     match ask(&entry, from, Document::Changes, query).await {
         Ok((status, body)) if status.is_success() => match changes::decode(&body) {
             Some(passed) => {
-                let before = entry.listed_up_to();
-                entry.take_passed_on(passed);
-                entry.log_list_known(before, &from.to_string());
+                let before = entry.list_revision();
+                entry.apply_peer_changes(passed);
+                entry.log_list_advanced(before, &from.to_string());
             }
             None => {
                 tracing::warn!(%from, "a peer's changes can't be decoded, asking the store");
-                entry.watch_again.notify_one();
+                entry.rewatch_requested.notify_one();
             }
         },
         Ok((status, _)) => {
             tracing::debug!(%status, %from, "a peer does not keep the changes, asking the store");
-            entry.changes_not_kept(from);
-            if entry.store_is_away() {
+            entry.mark_changes_unavailable(from);
+            if entry.is_store_unreachable() {
                 whole_list(&entry, from).await;
             }
         }
@@ -71,9 +71,9 @@
     match ask(entry, from, Document::List, ready::list_query()).await {
         Ok((status, body)) if status.is_success() => match changes::decode(&body) {
             Some(passed) => {
-                let before = entry.listed_up_to();
-                entry.take_whole_list(passed);
-                entry.log_list_known(before, &from.to_string());
+                let before = entry.list_revision();
+                entry.apply_peer_list(passed);
+                entry.log_list_advanced(before, &from.to_string());
             }
             None => tracing::warn!(%from, "a peer's list can't be decoded"),
         },
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -41,13 +41,13 @@
     loop {
         tokio::select! {
             () = sleep_until(next) => next = Instant::now() + ROUND.duration(),
-            () = entry.tell_now.notified() => {
+            () = entry.gossip_requested.notified() => {
                 tell_at_once(&entry, &socket).await;
                 continue;
             }
         }
         entry.judge();
-        entry.round_limits();
+        entry.update_limit_coordination();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS;
         let round = entry.peers.borrow_mut().round(entry.is_watching(), now);
@@ -101,7 +101,7 @@
         .borrow()
         .recent_observations(since, entry.clock.now());
     if !recent_observations.is_empty() {
-        entry.send_limits(to, &Message::Told(recent_observations));
+        entry.send_limit_message(to, &Message::Told(recent_observations));
     }
 }
 
@@ -185,9 +185,9 @@
 /// Takes a datagram that is not of a round.
 fn hear_other(entry: &Rc<Entry>, from: SocketAddr, bytes: &[u8]) {
     if let Some(notices) = peers::decode_notices(bytes) {
-        entry.take_notices(&notices);
+        entry.apply_notices(&notices);
     } else if let Some(message) = limits::decode(bytes) {
-        entry.take_limits(from, message);
+        entry.handle_limit_message(from, message);
     } else {
         tracing::debug!(%from, "datagram is not one of ours");
     }
@@ -225,12 +225,12 @@
         echo: book.echo(tell.to),
         version: entry.version(),
         proof_age_ms: entry.freshness().age(now).map(|age| age.0),
-        revision: entry.listed_up_to(),
+        revision: entry.list_revision(),
         changes_after: entry.changes_after(),
-        catalog_revision: entry.catalog_up_to(),
+        catalog_revision: entry.catalog_revision(),
         leaving: entry.life() != Life::Serving,
         watches: entry.is_watching(),
-        reads_large: entry.is_excused(),
+        reads_large: entry.is_stale_proof_excused(),
         link_mbps: book.link_mbps(),
         zone: book.zone(),
         zone_entries: book.zone_entries(now),
@@ -269,14 +269,14 @@
         entry.log_peer(from, peers);
     }
     if hello.version <= entry.version() {
-        entry.catalog_known_up_to(hello.catalog_revision);
+        entry.confirm_catalog_at(hello.catalog_revision);
     }
     if let (Some(asked), Some(age)) = (heard.asked, hello.proof_age_ms) {
         if hello.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
     }
-    entry.peer_has_version(hello.version);
+    entry.note_peer_catalog_version(hello.version);
     if hello.version > entry.version() && entry.begin_fetch(Fetch::Catalog) {
         actix_rt::spawn(fetch::catalog(Rc::clone(entry), from));
     }
@@ -284,7 +284,7 @@
     if has_changes && entry.begin_fetch(Fetch::Changes) {
         actix_rt::spawn(fetch::changes(Rc::clone(entry), from));
     }
-    entry.peer_applied(hello.revision);
+    entry.note_peer_list_revision(hello.revision);
     take_work(entry, hello, now);
     take_placements(entry, hello, now);
     heard.is_new
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -44,9 +44,9 @@
             .verdict(&answered.reply.head, &self.ask.id);
         self.heard(key, &verdict, now);
         let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
-        self.entry.endpoint_announced(key, announcement, id);
+        self.entry.record_announcement(key, announcement, id);
         self.entry
-            .endpoint_limited(key, announcement.limit, answered.sent_at, id);
+            .record_announced_limit(key, announcement.limit, answered.sent_at, id);
         if verdict.misdirected {
             answered.placed.undecided();
             return self.misdirected(key);
@@ -125,7 +125,7 @@
         }
         self.log_failed(key, &format!("not run, status {}", status.as_u16()), false);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "not_run");
+        self.entry.metrics.attempt(&self.pool, urgency, "not_run");
         Attempt::NotRun(key)
     }
 
@@ -147,7 +147,7 @@
         self.entry.endpoint_failed(key, fault, why);
         self.log_failed(key, why, true);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "lost");
+        self.entry.metrics.attempt(&self.pool, urgency, "lost");
         Attempt::Lost(key)
     }
 
@@ -249,7 +249,7 @@
             progress.first = Some(now);
             let ms = (now - self.incoming.at).0 as f64;
             self.entry
-                .gauges
+                .metrics
                 .first_byte(&self.pool, self.priority(), ms);
         }
     }
@@ -258,7 +258,7 @@
     fn keep(&self, key: EndpointKey, reply: Reply, verdict: &Verdict) {
         if let Some(mut channel) = reply.into_channel() {
             channel.idle_time = verdict.idle_time;
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
         }
     }
 
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -49,7 +49,7 @@
         };
         let free = self.free_endpoints();
         if free > 0 {
-            self.entry.gauges.refused_with_room(&self.pool);
+            self.entry.metrics.refused_with_room(&self.pool);
         }
         self.note_nothing(why);
         let urgency = self.route().priority;
@@ -67,7 +67,7 @@
             _ => "not_run",
         };
         self.entry
-            .gauges
+            .metrics
             .request(&self.pool, Some(urgency), outcome);
         let refusal = Refusal::NotRun(self.come_back(why));
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -16,13 +16,13 @@
         self.entry.account(choice.key, |account| {
             running = account.load.total(now).running;
         });
-        let against = self.entry.unwilling(choice.key);
+        let against = self.entry.decline_reason(choice.key);
         if let Some(what) = against {
-            self.entry.gauges.sent_against(what);
+            self.entry.metrics.sent_against(what);
         }
         let limit = self.entry.limit(choice.key);
         if limit.is_some() {
-            self.entry.gauges.sent_to_limited();
+            self.entry.metrics.sent_to_limited();
         }
         let placed = Decision::Placed {
             route: self.route().name.clone(),
@@ -45,7 +45,7 @@
         };
         self.entry.log.request(self.ask.id.as_bytes(), placed);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "sent");
+        self.entry.metrics.attempt(&self.pool, urgency, "sent");
     }
 
     /// Identity of the endpoint that parts of the prompt are taken from.
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -29,7 +29,7 @@
             return true;
         }
         let asked = self.entry.clock.now();
-        let is_permitted = match self.entry.permit(key, self.band()).await {
+        let is_permitted = match self.entry.request_permit(key, self.band()).await {
             PermitDecision::Unlimited => true,
             PermitDecision::Permitted => {
                 let until = asked + LASTS;
@@ -70,7 +70,7 @@
         if at > wait_until.min(self.end) {
             return Attempt::NoEndpoint;
         }
-        let waiting = self.entry.wait_for_permits();
+        let waiting = self.entry.count_waiting_for_permit();
         self.entry.clock.sleep_until(at).await;
         drop(waiting);
         self.refusals = 0;
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -53,12 +53,12 @@
             return Attempt::TimeOver;
         }
         if !self.may_send(key, now) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Withdrawn(key);
         }
         // It may have named its limit since it was chosen.
         if !self.is_within_limit(key) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Limited;
         }
         match self.entry.allow(self.ask) {
@@ -67,7 +67,7 @@
             Err(denied) => return Attempt::Denied(denied),
         }
         if !self.take_turn(now) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Waits;
         }
         self.use_permit();
@@ -94,11 +94,11 @@
 
     /// A connection to an endpoint: a kept one that is quiet, or a new one.
     async fn open(&self, key: EndpointKey) -> Option<Channel> {
-        if let Some(channel) = self.entry.idle_channel(key) {
+        if let Some(channel) = self.entry.take_idle_connection(key) {
             return Some(channel);
         }
         let address = self.entry.directory().get(key)?.listed.address;
-        self.entry.gauges.connection();
+        self.entry.metrics.connection();
         let connected = Channel::connect(address).await;
         if matches!(connected, Err(Failure::Refused)) {
             self.entry.endpoint_ended(key, EndSign::Refused);
@@ -158,10 +158,10 @@
         let verdict = self.entry.dialect.verdict(head, &self.ask.id);
         if !verdict.is_own {
             let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
-            self.entry.endpoint_announced(key, announcement, id);
+            self.entry.record_announcement(key, announcement, id);
             let sent = Millis(0);
             self.entry
-                .endpoint_limited(key, announcement.limit, sent, id);
+                .record_announced_limit(key, announcement.limit, sent, id);
         }
         verdict.is_own
     }
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -131,13 +131,13 @@
     loop {
         sleep(HOUSEKEEPING).await;
         if let Some(time) = entry.clock.look() {
-            entry.resumed(time);
+            entry.handle_resume(time);
         }
         entry.expire();
         rounds += 1;
         if rounds % ROUNDS_A_SECOND == 0 {
             entry.log.next_second();
-            entry.set_gauges();
+            entry.update_metrics();
         }
     }
 }
@@ -150,8 +150,8 @@
     let mut seen = None;
     loop {
         tokio::select! {
-            _ = term.recv() => entry.stop("SIGTERM"),
-            _ = int.recv() => entry.stop("SIGINT"),
+            _ = term.recv() => entry.begin_stop("SIGTERM"),
+            _ = int.recv() => entry.begin_stop("SIGINT"),
             _ = hup.recv() => reload(&entry, path.as_deref(), &mut seen),
             () = sleep(RELOAD_LOOK) => reload(&entry, path.as_deref(), &mut seen),
         }
--- a/src/direct/progress.rs
+++ b/src/direct/progress.rs
@@ -48,6 +48,6 @@
             total_ms: (now - incoming.at).0,
         };
         entry.log.request(&self.id, ended);
-        entry.gauges.request(&self.pool, self.urgency, how.label());
+        entry.metrics.request(&self.pool, self.urgency, how.label());
     }
 }
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -51,7 +51,7 @@
 
 fn admin(entry: &Entry, path: &str) -> Response<BoxBody> {
     match path {
-        METRICS_PATH => text(entry.gauges.text().into_bytes()),
+        METRICS_PATH => text(entry.metrics.text().into_bytes()),
         CATALOG_PATH => catalog(entry),
         _ if path.starts_with(NEWER_PATH) => catalog_since(entry, &path[NEWER_PATH.len()..]),
         _ if path.starts_with(CHANGES_PATH) => changes_since(entry, &path[CHANGES_PATH.len()..]),
--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -87,7 +87,7 @@
 async fn woken(entry: &Entry) -> Woken {
     tokio::select! {
         () = sleep(ROLE_LOOK) => Woken::Look,
-        () = entry.watch_again.notified() => Woken::Watch,
-        () = entry.list_again.notified() => Woken::List,
+        () = entry.rewatch_requested.notified() => Woken::Watch,
+        () = entry.relist_requested.notified() => Woken::List,
     }
 }
--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -19,9 +19,9 @@
     let asked = entry.clock.now();
     let (listing, begun) = read_list(entry, client).await?;
     entry.store_answered();
-    let before = entry.listed_up_to();
-    entry.take_listing(listing, begun);
-    entry.log_list_known(before, "listing");
+    let before = entry.list_revision();
+    entry.apply_listing(listing, begun);
+    entry.log_list_advanced(before, "listing");
     let read = tokio::select! {
         biased;
         () = peers_bring_it(entry) => None,
@@ -30,9 +30,9 @@
     };
     if let Some(catalog) = read {
         if let Some(catalog) = catalog {
-            entry.take_catalog(catalog, "store");
+            entry.apply_catalog(catalog, "store");
         }
-        entry.catalog_known_up_to(begun);
+        entry.confirm_catalog_at(begun);
     }
     entry.prove_up_to(asked, begun);
     Ok(())
@@ -41,7 +41,7 @@
 /// Resolves when peers watch the store for this entry and it has what they have: 5,600 routes took
 /// a median of 1.5 s from the store and 0.22 s from a peer at 22 entries that started again behind 10 Mbit/s.
 async fn peers_bring_it(entry: &Entry) {
-    while !entry.peers_bring_catalog() {
+    while !entry.can_get_catalog_from_peers() {
         sleep(PEERS_LOOK).await;
     }
 }
@@ -60,7 +60,7 @@
         listing.endpoints.extend(page.listing.endpoints);
         listing.cordons.extend(page.listing.cordons);
         for found in page.unreadable {
-            entry.found_unreadable(found);
+            entry.report_unreadable(found);
         }
         from = page.next;
         if from.is_none() {
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -62,7 +62,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let arrived = |bytes| {
         if bytes >= LARGE {
-            entry.large_answer_arrives();
+            entry.record_large_answer_piece();
         }
     };
     let answer = match begun {
@@ -71,7 +71,7 @@
     };
     let failure = answer.as_ref().err().map(ToString::to_string);
     reading.end(entry, client, failure);
-    entry.gauges.store_call(match &answer {
+    entry.metrics.store_call(match &answer {
         Ok(_) => "answered",
         Err(_) => "failed",
     });
@@ -94,7 +94,7 @@
 /// Pause between two calls of one entry: `least`, or longer in a fleet that would make more than
 /// [`FLEET_CALLS_PER_S`]. An entry that has nothing yet serves nobody, and waits no longer than `least`.
 fn fleet_pause(entry: &Entry, least: Millis) -> Millis {
-    if entry.version() == 0 || entry.listed_up_to() == 0 {
+    if entry.version() == 0 || entry.list_revision() == 0 {
         return least;
     }
     let entries = entry.peers.borrow().entries(entry.clock.now()) as u64;
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -38,7 +38,7 @@
                 entry.store_answered();
                 let revision = snapshot.current;
                 if let Some(cordons) = snapshot.cordons {
-                    entry.take_cordons(cordons, revision);
+                    entry.apply_cordons(cordons, revision);
                 }
                 if !entry.prove_up_to(asked, revision) {
                     // The watch proves it when it brings the rest.
@@ -47,7 +47,7 @@
             }
             Err(err) => {
                 // A question may wait behind a large answer; the store is there all the same.
-                if !entry.reads_large() {
+                if !entry.is_reading_large_answer() {
                     entry.store_failed(&err);
                 }
                 sleep(fleet_pause(&entry, AWAY_PAUSE).duration()).await;
@@ -83,7 +83,7 @@
 /// While the store is away it is asked on, whatever peers prove: its return has to be noticed, since
 /// lapsed endpoints are only waited for from then on.
 pub fn until_question(entry: &Entry, spread: Millis) -> Millis {
-    if entry.store_is_away() {
+    if entry.is_store_unreachable() {
         return Millis(0);
     }
     match entry.proof_age() {
@@ -108,7 +108,7 @@
 /// that may hold it is on its way.
 async fn list_if_behind(entry: &Entry, revision: Revision) {
     sleep(WATCH_LAG).await;
-    if entry.applied() < revision && !entry.reads_large() {
-        entry.list_again.notify_one();
+    if entry.applied() < revision && !entry.is_reading_large_answer() {
+        entry.relist_requested.notify_one();
     }
 }
--- a/src/direct/sync/reading.rs
+++ b/src/direct/sync/reading.rs
@@ -62,7 +62,7 @@
     pub fn end(self, entry: &Entry, client: &StoreClient, failure: Option<String>) {
         let bytes = client.received();
         let source = if self.peer.is_some() { "peer" } else { "store" };
-        entry.gauges.read(self.document.label(), source, bytes);
+        entry.metrics.read(self.document.label(), source, bytes);
         if failure.is_none() && bytes < BULK {
             return;
         }
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -38,8 +38,8 @@
 pub(super) async fn watch(entry: &Rc<Entry>, client: &StoreClient) -> bool {
     let begun = tokio::select! {
         begun = begin(entry, client, Scope::All, entry.applied(), WATCH_WAIT) => begun,
-        () = entry.list_again.notified() => return false,
-        () = entry.watch_again.notified() => return true,
+        () = entry.relist_requested.notified() => return false,
+        () = entry.rewatch_requested.notified() => return true,
     };
     // What has begun to arrive is read to its end: asking again would begin at the first byte.
     let watched = tokio::select! {
@@ -57,7 +57,7 @@
 
 /// Watches the list of endpoints alone, once; false when that is to be read anew.
 async fn watch_endpoints(entry: &Rc<Entry>, client: &StoreClient, wait: Millis) -> bool {
-    let after = entry.listed_up_to();
+    let after = entry.list_revision();
     let begun = begin(entry, client, Scope::Endpoints, after, wait).await;
     let watched = match read(entry, client, begun).await {
         Ok(Watched::Changes(changes, current)) => {
@@ -76,7 +76,7 @@
     current: Revision,
 ) -> Result<Watched, CallError> {
     let snapshot = ask_snapshot(entry, client).await?;
-    let before = entry.listed_up_to();
+    let before = entry.list_revision();
     let cordons = snapshot.cordons.unwrap_or_default();
     let directory = entry.directory();
     let cordons = directory.cordon_changes_to(&cordons, before, snapshot.current);
@@ -149,18 +149,18 @@
     let mut changes = Vec::new();
     for written in written {
         match written {
-            Written::Catalog(catalog) => entry.take_catalog(catalog, "store"),
+            Written::Catalog(catalog) => entry.apply_catalog(catalog, "store"),
             Written::Change(change) => changes.push(change),
             Written::Unreadable(found, change) => {
-                entry.found_unreadable(found);
+                entry.report_unreadable(found);
                 changes.extend(change);
             }
         }
     }
-    let before = entry.listed_up_to();
-    entry.take_changes(changes, current);
-    entry.log_list_known(before, "store");
+    let before = entry.list_revision();
+    entry.apply_changes(changes, current);
+    entry.log_list_advanced(before, "store");
     if scope == Scope::All {
-        entry.catalog_known_up_to(current);
+        entry.confirm_catalog_at(current);
     }
 }
--- a/tests/direct_versions.rs
+++ b/tests/direct_versions.rs
@@ -53,7 +53,7 @@
 fn pass_on(from: &Rc<Entry>, to: &Rc<Entry>) -> usize {
     let update = from.catalog_since(to.version()).unwrap();
     let newer = versions::decode(&update).unwrap();
-    assert!(to.take_newer(newer, "a peer"));
+    assert!(to.apply_newer_catalog(newer, "a peer"));
     update.len()
 }
 
@@ -61,11 +61,11 @@
 fn size_of_change() {
     let (_, first) = entry();
     let (_, second) = entry();
-    first.take_catalog(boxed(&large(1, MANY, 24)), "store");
+    first.apply_catalog(boxed(&large(1, MANY, 24)), "store");
     let whole = pass_on(&first, &second);
     let mut changed = large(2, MANY, 24).parts();
     changed.teams[3].keys = vec!["key-new".into()];
-    first.take_catalog(Box::new(Catalog::from(changed)), "store");
+    first.apply_catalog(Box::new(Catalog::from(changed)), "store");
     let patch = pass_on(&first, &second);
     assert!(patch < 512, "{patch} bytes for one key");
     assert!(whole > 50 * patch, "{whole} bytes for all");
@@ -77,12 +77,12 @@
 #[test]
 fn passed_on_again() {
     let entries: Vec<Rc<Entry>> = (0..3).map(|_| entry().1).collect();
-    entries[0].take_catalog(boxed(&large(1, 50, 2)), "store");
+    entries[0].apply_catalog(boxed(&large(1, 50, 2)), "store");
     pass_on(&entries[0], &entries[1]);
     pass_on(&entries[0], &entries[2]);
     for version in 2..6 {
         let next = boxed(&large(version, 50 * version as usize, 2));
-        entries[0].take_catalog(next, "store");
+        entries[0].apply_catalog(next, "store");
         pass_on(&entries[0], &entries[1]);
     }
     // Four patches at once, from an entry that has them from a peer itself.
@@ -103,23 +103,23 @@
     let (_, first) = entry();
     let (_, second) = entry();
     for entry in [&first, &second] {
-        entry.take_catalog(boxed(&large(1, 10, 1)), "store");
+        entry.apply_catalog(boxed(&large(1, 10, 1)), "store");
     }
-    first.take_catalog(boxed(&large(2, 20, 1)), "store");
-    first.take_catalog(boxed(&large(3, 30, 1)), "store");
+    first.apply_catalog(boxed(&large(2, 20, 1)), "store");
+    first.apply_catalog(boxed(&large(3, 30, 1)), "store");
     let late = first.catalog_since(1).unwrap();
-    second.take_catalog(boxed(&large(2, 20, 1)), "store");
-    assert!(second.take_newer(versions::decode(&late).unwrap(), "a peer"));
+    second.apply_catalog(boxed(&large(2, 20, 1)), "store");
+    assert!(second.apply_newer_catalog(versions::decode(&late).unwrap(), "a peer"));
     assert_eq!(second.version(), 3);
-    assert!(!second.take_newer(versions::decode(&late).unwrap(), "a peer"));
+    assert!(!second.apply_newer_catalog(versions::decode(&late).unwrap(), "a peer"));
     assert_eq!(second.version(), 3);
 }
 
 #[test]
 fn gap_means_whole() {
     let (_, first) = entry();
-    first.take_catalog(boxed(&large(4, 10, 1)), "store");
-    first.take_catalog(boxed(&large(6, 20, 1)), "store");
+    first.apply_catalog(boxed(&large(4, 10, 1)), "store");
+    first.apply_catalog(boxed(&large(6, 20, 1)), "store");
     for version in [0, 2, 5] {
         let update = first.catalog_since(version).unwrap();
         assert!(matches!(
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -13,7 +13,7 @@
 use violetline::direct::sync::{until_question, CallError};
 
 fn asks_again(entry: &Entry) -> bool {
-    entry.watch_again.notified().now_or_never().is_some()
+    entry.rewatch_requested.notified().now_or_never().is_some()
 }
 
 #[test]
@@ -31,13 +31,13 @@
 #[test]
 fn peer_is_ahead() {
     let (clock, entry) = entry();
-    entry.take_changes(Vec::new(), 10);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 10);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(649));
-    entry.peer_applied(11);
+    entry.note_peer_list_revision(11);
     assert!(!asks_again(&entry));
     clock.advance(Millis(1));
-    entry.peer_applied(11);
+    entry.note_peer_list_revision(11);
     assert!(asks_again(&entry));
 }
 
@@ -45,24 +45,24 @@
 #[test]
 fn others_behind_too() {
     let (clock, entry) = entry();
-    entry.take_changes(Vec::new(), 10);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 10);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(400));
-    entry.peer_applied(10);
+    entry.note_peer_list_revision(10);
     clock.advance(Millis(250));
-    entry.peer_applied(11);
+    entry.note_peer_list_revision(11);
     assert!(asks_again(&entry));
 }
 
 #[test]
 fn watch_catches_up() {
     let (clock, entry) = entry();
-    entry.peer_applied(11);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(500));
-    entry.take_changes(Vec::new(), 11);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 11);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(500));
-    entry.peer_applied(12);
+    entry.note_peer_list_revision(12);
     assert!(!asks_again(&entry));
 }
 
@@ -89,10 +89,10 @@
 fn proof_by_catalog() {
     let (clock, entry) = entry();
     assert!(!entry.prove_up_to(Millis(900), 10));
-    entry.take_changes(Vec::new(), 10);
+    entry.apply_changes(Vec::new(), 10);
     assert_eq!(entry.proof_age(), None);
     clock.advance(Millis(100));
-    entry.catalog_known_up_to(10);
+    entry.confirm_catalog_at(10);
     assert_eq!(entry.proof_age(), Some(Millis(200)));
     assert_eq!(entry.applied(), 10);
 }
@@ -106,12 +106,12 @@
         id: "i-1".into(),
         revision: 7,
     };
-    entry.take_changes(vec![put()], 5);
+    entry.apply_changes(vec![put()], 5);
     assert!(entry.directory().key("i-1").is_some());
-    entry.take_changes(vec![removed], 7);
-    entry.take_changes(vec![put()], 6);
+    entry.apply_changes(vec![removed], 7);
+    entry.apply_changes(vec![put()], 6);
     assert!(entry.directory().key("i-1").is_none());
-    assert_eq!(entry.listed_up_to(), 7);
+    assert_eq!(entry.list_revision(), 7);
 }
 
 /// An endpoint that has left would come back for good, and get requests: a listing that was begun before it left is read to
@@ -120,17 +120,17 @@
 fn older_listing() {
     let (_, entry) = entry();
     let all = || vec![listed("i-1", 3), listed("i-2", 4)];
-    entry.take_listing(all(), 5);
+    entry.apply_listing(all(), 5);
     let removed = Change::Removed {
         id: "i-1".into(),
         revision: 7,
     };
-    entry.take_changes(vec![removed], 7);
-    entry.take_listing([all(), vec![listed("i-3", 8)]].concat(), 6);
+    entry.apply_changes(vec![removed], 7);
+    entry.apply_listing([all(), vec![listed("i-3", 8)]].concat(), 6);
     assert!(entry.directory().key("i-1").is_none());
     assert!(entry.directory().key("i-2").is_some());
     assert!(entry.directory().key("i-3").is_some(), "written meanwhile");
-    assert_eq!(entry.listed_up_to(), 7);
+    assert_eq!(entry.list_revision(), 7);
 }
 
 /// A whole listing is passed on as the changes that it makes, so that peers need not list after the store
@@ -139,10 +139,10 @@
 fn listing_passed_on() {
     let (_, entry) = entry();
     let listed = |id: &str, revision| common::listed(id, revision);
-    entry.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    entry.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let first = entry.changes_since(0).unwrap();
     assert_eq!((first.changes.len(), first.up_to), (2, 5));
-    entry.take_listing(vec![listed("i-2", 4), listed("i-3", 8)], 9);
+    entry.apply_listing(vec![listed("i-2", 4), listed("i-3", 8)], 9);
     assert_eq!(entry.changes_after(), 0);
     let passed = entry.changes_since(5).unwrap();
     let removed = Change::Removed {
@@ -153,7 +153,7 @@
     assert_eq!(passed.changes.len(), 2);
     assert!(passed.changes.contains(&removed));
     assert!(passed.changes.contains(&Change::Put(listed("i-3", 8))));
-    entry.take_listing(vec![listed("i-9", 2)], 7);
+    entry.apply_listing(vec![listed("i-9", 2)], 7);
     assert_eq!(
         entry.changes_since(9),
         None,
@@ -163,10 +163,10 @@
 
 /// What an entry passes to another one that asks for the changes after a revision.
 fn pass(from: &Entry, to: &Entry) {
-    let passed = from.changes_since(to.listed_up_to());
+    let passed = from.changes_since(to.list_revision());
     let written = passed.as_ref().and_then(changes::encode);
     if let Some(passed) = written.as_deref().and_then(changes::decode) {
-        to.take_passed_on(passed);
+        to.apply_peer_changes(passed);
     }
 }
 
@@ -175,16 +175,16 @@
 #[test]
 fn left_before_listing() {
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let (_, fresh) = entry();
-    fresh.take_listing(vec![listed("i-2", 4)], 6);
+    fresh.apply_listing(vec![listed("i-2", 4)], 6);
     pass(&fresh, &peer);
-    assert_eq!(peer.listed_up_to(), 5);
+    assert_eq!(peer.list_revision(), 5);
     let removed = Change::Removed {
         id: "i-1".into(),
         revision: 6,
     };
-    peer.take_changes(vec![removed], 6);
+    peer.apply_changes(vec![removed], 6);
     assert!(peer.directory().key("i-1").is_none());
 }
 
@@ -192,16 +192,16 @@
 #[test]
 fn left_second_hand() {
     let (_, fresh) = entry();
-    fresh.take_listing(vec![listed("i-2", 4)], 6);
+    fresh.apply_listing(vec![listed("i-2", 4)], 6);
     let (_, empty) = entry();
     pass(&fresh, &empty);
-    assert_eq!(empty.listed_up_to(), 6);
+    assert_eq!(empty.list_revision(), 6);
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     pass(&empty, &peer);
-    assert_eq!(peer.listed_up_to(), 5);
-    peer.take_passed_on(fresh.changes_since(0).unwrap());
-    assert_eq!(peer.listed_up_to(), 5);
+    assert_eq!(peer.list_revision(), 5);
+    peer.apply_peer_changes(fresh.changes_since(0).unwrap());
+    assert_eq!(peer.list_revision(), 5);
     assert!(asks_again(&peer));
 }
 
@@ -213,28 +213,28 @@
         draining: true,
         ..listed("i-3", 6)
     };
-    fresh.take_listing(vec![listed("i-2", 4), draining], 6);
+    fresh.apply_listing(vec![listed("i-2", 4), draining], 6);
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let passed = changes::encode(&fresh.whole_list()).unwrap();
     let passed = || changes::decode(&passed).unwrap();
-    peer.take_whole_list(passed());
-    assert_eq!(peer.listed_up_to(), 6);
+    peer.apply_peer_list(passed());
+    assert_eq!(peer.list_revision(), 6);
     assert_eq!(peer.directory().listing(), fresh.directory().listing());
-    peer.take_changes(vec![Change::Put(listed("i-4", 7))], 7);
-    peer.take_whole_list(passed());
-    assert_eq!(peer.listed_up_to(), 7);
+    peer.apply_changes(vec![Change::Put(listed("i-4", 7))], 7);
+    peer.apply_peer_list(passed());
+    assert_eq!(peer.list_revision(), 7);
     assert!(peer.directory().key("i-4").is_some());
 }
 
 /// The whole configuration is read from the store by those that watch it, and by one that its peers
 /// don't bring up to date.
 #[test]
-fn peers_bring_catalog() {
+fn can_get_catalog_from_peers() {
     let (clock, entry) = entry();
     let catalog = |version| Box::new(catalog(version, Vec::new()));
-    entry.take_catalog(catalog(3), "store");
-    assert!(!entry.peers_bring_catalog(), "no peer watches");
+    entry.apply_catalog(catalog(3), "store");
+    assert!(!entry.can_get_catalog_from_peers(), "no peer watches");
     let hear_watchers = || {
         for i in [2, 3] {
             let peer = ([127, 0, 0, i], 1).into();
@@ -244,17 +244,20 @@
         }
     };
     hear_watchers();
-    assert!(entry.peers_bring_catalog());
-    entry.peer_has_version(4);
+    assert!(entry.can_get_catalog_from_peers());
+    entry.note_peer_catalog_version(4);
     clock.advance(Millis(700));
-    entry.take_catalog(catalog(4), "a peer");
-    entry.peer_has_version(5);
+    entry.apply_catalog(catalog(4), "a peer");
+    entry.note_peer_catalog_version(5);
     clock.advance(Millis(800));
     hear_watchers();
-    assert!(entry.peers_bring_catalog());
+    assert!(entry.can_get_catalog_from_peers());
     clock.advance(Millis(700));
     hear_watchers();
-    assert!(!entry.peers_bring_catalog(), "lacks version 5 for 1.5 s");
+    assert!(
+        !entry.can_get_catalog_from_peers(),
+        "lacks version 5 for 1.5 s"
+    );
 }
 
 /// What an entry with a wide link tells that watches the store.
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -124,17 +124,17 @@
 #[test]
 fn counted_and_told() {
     let (_, entry) = entry();
-    entry.take_listing(vec![listed("a", 1)], 1);
+    entry.apply_listing(vec![listed("a", 1)], 1);
     for n in 0..3_000 {
         for _ in 0..2 {
-            entry.found_unreadable(Unreadable {
+            entry.report_unreadable(Unreadable {
                 key: format!("servers/{n}"),
                 why: "unknown state".into(),
             });
         }
     }
     assert_eq!(entry.directory().iter().count(), 1);
-    let text = entry.gauges.text();
+    let text = entry.metrics.text();
     let count = text
         .lines()
         .find(|l| l.starts_with("direct_unreadable_entries"));
--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -25,14 +25,14 @@
         pool: "other".into(),
         ..listed(&format!("m-{i}"), 1)
     });
-    entry.take_listing(own.chain(others).collect::<Vec<_>>(), 1);
+    entry.apply_listing(own.chain(others).collect::<Vec<_>>(), 1);
     clock.advance(Millis(10_000));
     (clock, entry)
 }
 
 /// An endpoint ends under a request whose run began 50 ms before.
 fn ended(entry: &Entry, request: Fingerprint, endpoint: usize) {
-    entry.take_notices(&[Notice::Ended {
+    entry.apply_notices(&[Notice::Ended {
         request,
         endpoint: digest(&format!("i-{endpoint}"), None),
         began: 50,
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -89,7 +89,7 @@
 #[test]
 fn holds_nothing() {
     let (clock, entry) = entry();
-    entry.take_listing(vec![life("a", 100, 1)], 1);
+    entry.apply_listing(vec![life("a", 100, 1)], 1);
     let before = key(&entry.directory());
     let placed = entry.place(before, "pool", FOOTPRINT, Fingerprint(1));
     entry.endpoint_failed(before, Fault::Contact, "test");
@@ -97,7 +97,7 @@
     let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
     let ids = parts.iter().map(|part| part.id);
     entry.prefixes.borrow_mut().note(before, ids, now, now);
-    entry.take_changes(vec![Change::Put(life("a", 200, 2))], 2);
+    entry.apply_changes(vec![Change::Put(life("a", 200, 2))], 2);
     let after = key(&entry.directory());
     let accounts = entry.accounts();
     let account = accounts.get(after).unwrap();
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -108,7 +108,7 @@
         warming: Millis(2_000),
         ..listed("a", 1)
     };
-    entry.take_listing(vec![cold], 1);
+    entry.apply_listing(vec![cold], 1);
     let key = entry.directory().key("a").unwrap();
     let is_warming = || {
         let directory = entry.directory();
@@ -122,7 +122,7 @@
     assert!(!is_warming(), "its time is over, whatever the list says");
     entry.endpoint_failed(key, Fault::Contact, "no connection");
     assert!(is_warming(), "it may have started again");
-    entry.take_changes(vec![Change::Put(listed("a", 2))], 2);
+    entry.apply_changes(vec![Change::Put(listed("a", 2))], 2);
     clock.advance(Millis(1_500));
     assert!(!is_warming(), "its newer entry says that it is warm");
 }
@@ -146,8 +146,8 @@
 #[test]
 fn ordinary_change() {
     let (_, entry) = entry();
-    entry.take_listing(vec![listed("a", 1)], 1);
-    entry.take_changes(vec![Change::Put(listed("a", 2))], 2);
+    entry.apply_listing(vec![listed("a", 1)], 1);
+    entry.apply_changes(vec![Change::Put(listed("a", 2))], 2);
     let directory = entry.directory();
     let key = directory.key("a").unwrap();
     let endpoint = directory.get(key).unwrap();
@@ -162,7 +162,7 @@
         warming: Millis(2_000),
         ..listed("a", 1)
     };
-    entry.take_listing(vec![cold], 1);
+    entry.apply_listing(vec![cold], 1);
     let directory = entry.directory();
     let key = directory.key("a").unwrap();
     assert_eq!(entry.warm_up_share(directory.get(key).unwrap(), None), None);
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -91,15 +91,15 @@
         endpoints: vec![listed("a", 1)],
         cordons: vec![cordon(5)],
     };
-    first.take_listing(vec![listed("a", 1)], 2);
-    second.take_listing(vec![listed("a", 1)], 2);
-    first.take_listing(with_cordon, 6);
+    first.apply_listing(vec![listed("a", 1)], 2);
+    second.apply_listing(vec![listed("a", 1)], 2);
+    first.apply_listing(with_cordon, 6);
     let passed = first.changes_since(2).unwrap();
-    second.take_changes(passed.changes, passed.up_to);
+    second.apply_changes(passed.changes, passed.up_to);
     assert!(second.directory().is_cordoned(ZONE));
-    first.take_listing(vec![listed("a", 1)], 9);
+    first.apply_listing(vec![listed("a", 1)], 9);
     let passed = first.changes_since(6).unwrap();
-    second.take_changes(passed.changes, passed.up_to);
+    second.apply_changes(passed.changes, passed.up_to);
     assert!(!second.directory().is_cordoned(ZONE));
 }
 
@@ -112,10 +112,10 @@
         endpoints: Vec::new(),
         cordons: vec![cordon(5)],
     };
-    first.take_listing(with_cordon, 6);
-    first.take_cordons(Vec::new(), 8);
+    first.apply_listing(with_cordon, 6);
+    first.apply_cordons(Vec::new(), 8);
     assert!(!first.directory().is_cordoned(ZONE));
-    first.take_listing(Vec::new(), 9);
+    first.apply_listing(Vec::new(), 9);
     let passed = first.changes_since(6).unwrap();
     let ends = |change: &Change| matches!(change, Change::Uncordoned(end) if end.zone == ZONE);
     assert!(passed.changes.iter().any(ends));
