--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -207,7 +207,7 @@
     /// A round: forgets what is over, and gives out no more where another entry decides.
     pub fn update_limit_coordination(&self) {
         let now = self.clock.now();
-        let is_leaving = self.life() != super::Life::Serving;
+        let is_leaving = self.process_state() != super::ProcessState::Serving;
         self.peers.borrow_mut().note_serving(is_leaving, now);
         let is_own = |target| matches!(self.coordinator(target), Coordinator::Own { .. });
         self.limits.borrow_mut().round(is_own, now);
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -38,11 +38,11 @@
 
 /// Where a process is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     /// Takes work.
     Serving,
     /// Still takes work, told the balancer not to send more.
-    Lingering,
+    Draining,
     /// Takes no new work and finishes what it has.
     Stopping,
 }
@@ -138,7 +138,7 @@
     unkept: RefCell<HashSet<SocketAddr>>,
     /// What is being fetched from peers.
     fetching: RefCell<HashSet<Fetch>>,
-    life: watch::Sender<Life>,
+    process_state: watch::Sender<ProcessState>,
 }
 
 impl Entry {
@@ -193,27 +193,30 @@
             started: clock.now(),
             unkept: RefCell::default(),
             fetching: RefCell::default(),
-            life: watch::Sender::new(Life::Serving),
+            process_state: watch::Sender::new(ProcessState::Serving),
             clock,
             settings: RefCell::new(settings),
         })
     }
 
     /// Where the process is in its life.
-    pub fn life(&self) -> Life {
-        *self.life.borrow()
+    pub fn process_state(&self) -> ProcessState {
+        *self.process_state.borrow()
     }
 
-    /// Notices changes of [`Entry::life`].
-    pub fn watch_life(&self) -> watch::Receiver<Life> {
-        self.life.subscribe()
+    /// Notices changes of [`Entry::process_state`].
+    pub fn watch_process_state(&self) -> watch::Receiver<ProcessState> {
+        self.process_state.subscribe()
     }
 
     /// Whether the balancer should send connections: requests can be decided and are wanted.
     pub fn is_ready(&self) -> bool {
         let bound = self.settings.borrow().bounds.key_proof_age();
         let fresh = bound.is_none_or(|b| self.freshness.get().within(self.clock.now(), b));
-        self.life() == Life::Serving && self.listed.get() && self.version() > 0 && fresh
+        self.process_state() == ProcessState::Serving
+            && self.listed.get()
+            && self.version() > 0
+            && fresh
     }
 
     /// Counts a request as in flight until the guard is dropped.
@@ -256,15 +259,15 @@
 
     /// Begins a planned stop; a second call changes nothing.
     pub fn begin_stop(&self, why: &str) {
-        if self.life() == Life::Serving {
+        if self.process_state() == ProcessState::Serving {
             self.log_process("stopping", why);
-            self.life.send_replace(Life::Lingering);
+            self.process_state.send_replace(ProcessState::Draining);
         }
     }
 
     /// Takes no new work from now on.
-    pub fn end_work(&self) {
-        self.life.send_replace(Life::Stopping);
+    pub fn stop_accepting(&self) {
+        self.process_state.send_replace(ProcessState::Stopping);
     }
 
     /// Writes a line about the process itself.
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::clock::Millis;
-use crate::direct::entry::{Entry, Fetch, Life};
+use crate::direct::entry::{Entry, Fetch, ProcessState};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
@@ -228,7 +228,7 @@
         revision: entry.list_revision(),
         changes_after: entry.changes_after(),
         catalog_revision: entry.catalog_revision(),
-        leaving: entry.life() != Life::Serving,
+        leaving: entry.process_state() != ProcessState::Serving,
         watches: entry.is_watching(),
         reads_large: entry.is_stale_proof_excused(),
         link_mbps: book.link_mbps(),
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -6,7 +6,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::RefusedWhy;
 use crate::direct::dialect::Refusal;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::intake::Incoming;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
@@ -25,7 +25,7 @@
         Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
     };
     progress.borrow_mut().id = ask.id.as_bytes().to_vec();
-    if entry.life() == Life::Stopping {
+    if entry.process_state() == ProcessState::Stopping {
         refuse::log(entry, &ask, incoming, RefusedWhy::Stopping, None);
         let refusal = Refusal::NotRun(COME_BACK_ELSEWHERE);
         return refuse::write(entry, answerer, refusal, Some(&ask)).await;
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -13,7 +13,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::CallerLimits;
 use crate::direct::dialect::Refusal;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 
 /// Room for one read, in bytes.
 const READ_ROOM: usize = 4 << 10;
@@ -82,14 +82,14 @@
 
     /// Waits for a request to begin; ends when the connection is idle too long or a stop needs it.
     async fn first_bytes(&mut self, entry: &Entry, limits: CallerLimits) -> Result<(), NoRequest> {
-        let mut life = entry.watch_life();
+        let mut process_state = entry.watch_process_state();
         tokio::select! {
             biased;
             read = timeout(limits.idle_time.duration(), self.read()) => match read {
                 Ok(read) => read,
                 Err(_) => Err(NoRequest::Closed),
             },
-            _ = life.wait_for(|life| *life == Life::Stopping) => Err(NoRequest::Closed),
+            _ = process_state.wait_for(|process_state| *process_state == ProcessState::Stopping) => Err(NoRequest::Closed),
         }
     }
 
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -12,7 +12,7 @@
 use crate::direct::dialect::Verdict;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
-use crate::direct::entry::{Life, Placed};
+use crate::direct::entry::{Placed, ProcessState};
 use crate::direct::health::Fault;
 use crate::direct::relay::{self, Broken, Onward};
 
@@ -263,6 +263,6 @@
     }
 
     fn is_closing(&self) -> bool {
-        self.entry.life() != Life::Serving
+        self.entry.process_state() != ProcessState::Serving
     }
 }
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -12,7 +12,7 @@
 use crate::direct::caller;
 use crate::direct::decision::DecisionLog;
 use crate::direct::dialect::Dialect;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::gossip;
 use crate::direct::ready;
 use crate::direct::settings::DirectSettings;
@@ -191,15 +191,15 @@
 
 /// Resolves when a planned stop has ended.
 async fn wait_for_end(entry: &Rc<Entry>) {
-    let mut life = entry.watch_life();
-    while *life.borrow_and_update() == Life::Serving {
-        if life.changed().await.is_err() {
+    let mut process_state = entry.watch_process_state();
+    while *process_state.borrow_and_update() == ProcessState::Serving {
+        if process_state.changed().await.is_err() {
             return;
         }
     }
     let begun = entry.clock.now();
     entry.clock.sleep_until(begun + LINGER).await;
-    entry.end_work();
+    entry.stop_accepting();
     let grace = entry.settings.borrow().bounds.stop_grace_ms;
     let end = begun + Millis((grace as f64 * STOP_PART) as u64);
     while entry.in_flight() > 0 && entry.clock.now() < end {
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -6,7 +6,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{Decision, RefusedWhy};
 use crate::direct::dialect::{Ask, Refusal};
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::intake::Incoming;
 use crate::direct::resolve::Denied;
 
@@ -38,7 +38,7 @@
     ask: Option<&Ask>,
 ) -> bool {
     let head = entry.dialect.refusal(refusal, ask.map(|ask| &ask.id));
-    let close = entry.life() != Life::Serving;
+    let close = entry.process_state() != ProcessState::Serving;
     let written = answerer.whole(head, Bytes::new(), close).await;
     written.is_ok() && answerer.is_kept()
 }
