--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -25,11 +25,11 @@
         };
         drop(directory);
         let mut endpoint = String::new();
-        self.account(key, |account| {
-            endpoint.clone_from(&account.id);
+        self.update_endpoint_state(key, |endpoint_state| {
+            endpoint.clone_from(&endpoint_state.id);
             if let Some(rest) = announcement.rest {
                 let until = now + rest.min(longest);
-                account.record.asked_for_rest(now, until);
+                endpoint_state.record.asked_for_rest(now, until);
             }
         });
         if announcement.leaves && !before.leaves {
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -146,7 +146,7 @@
         self.forget(&gone);
         self.listed.set(true);
         self.list_advanced(before.max(begun));
-        self.open_accounts();
+        self.add_missing_endpoint_states();
     }
 
     /// Takes all changes of the list up to a revision, and keeps them for peers.
@@ -207,7 +207,7 @@
         let now = self.clock.now();
         let gone = self.directory.borrow_mut().apply(change, now);
         self.forget(gone.as_slice());
-        self.open_accounts();
+        self.add_missing_endpoint_states();
         let directory = self.directory.borrow();
         let entry = directory.key(&endpoint).and_then(|key| directory.get(key));
         if let Some(Standing::Lapsed(_)) = entry.map(|e| e.standing) {
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/endpoint_states.rs
@@ -28,7 +28,7 @@
 
 /// What is known of one endpoint beyond its entry in the directory.
 #[derive(Debug, Default)]
-pub struct Account {
+pub struct EndpointState {
     /// Its identity.
     pub(super) id: String,
     /// Pool that it serves.
@@ -40,24 +40,24 @@
     /// Its record.
     pub record: Record,
     /// When anything last came from it.
-    pub heard: Millis,
+    pub last_contact_at: Millis,
     /// Requests that were sent to it lately.
-    pub sends: RecentSends,
+    pub recent_sends: RecentSends,
     /// Runs that it did not finish.
     lost: LostRuns,
     /// Whether it is being found out whether it has ended.
-    is_checked: bool,
+    is_end_check_running: bool,
     /// Connections to it that are not in use, the newest last.
     idle: Vec<Channel>,
 }
 
 /// The accounts of all listed endpoints.
-pub type Accounts = SecondaryMap<EndpointKey, Account>;
+pub type EndpointStates = SecondaryMap<EndpointKey, EndpointState>;
 
-impl Account {
+impl EndpointState {
     /// Something came from the endpoint.
-    pub fn hear(&mut self, now: Millis) {
-        self.heard = now;
+    pub fn record_contact(&mut self, now: Millis) {
+        self.last_contact_at = now;
         self.lost.heard(now);
     }
 
@@ -67,44 +67,44 @@
     }
 
     /// Whether it is being found out whether the endpoint has ended.
-    pub fn is_checked(&self) -> bool {
-        self.is_checked
+    pub fn is_end_check_running(&self) -> bool {
+        self.is_end_check_running
     }
 
     /// It is to be found out whether the endpoint has ended; true where that goes on by now.
     pub(super) fn begin_check(&mut self) -> bool {
-        std::mem::replace(&mut self.is_checked, true)
+        std::mem::replace(&mut self.is_end_check_running, true)
     }
 
     /// That is found out.
     pub(super) fn end_check(&mut self) {
-        self.is_checked = false;
+        self.is_end_check_running = false;
     }
 }
 
 impl Entry {
     /// What is known of every endpoint.
-    pub fn accounts(&self) -> Ref<'_, Accounts> {
-        self.accounts.borrow()
+    pub fn endpoint_states(&self) -> Ref<'_, EndpointStates> {
+        self.endpoint_states.borrow()
     }
 
     /// The same, to be changed.
-    pub fn accounts_mut(&self) -> RefMut<'_, Accounts> {
-        self.accounts.borrow_mut()
+    pub fn endpoint_states_mut(&self) -> RefMut<'_, EndpointStates> {
+        self.endpoint_states.borrow_mut()
     }
 
     /// Changes what is known of an endpoint; nothing when it has left.
-    pub fn account(&self, key: EndpointKey, change: impl FnOnce(&mut Account)) {
-        if let Some(account) = self.accounts.borrow_mut().get_mut(key) {
-            change(account);
+    pub fn update_endpoint_state(&self, key: EndpointKey, change: impl FnOnce(&mut EndpointState)) {
+        if let Some(endpoint_state) = self.endpoint_states.borrow_mut().get_mut(key) {
+            change(endpoint_state);
         }
     }
 
     /// A connection to an endpoint that waits for use.
     pub fn take_idle_connection(&self, key: EndpointKey) -> Option<Channel> {
         let now = self.clock.now();
-        let mut accounts = self.accounts.borrow_mut();
-        let idle = &mut accounts.get_mut(key)?.idle;
+        let mut endpoint_states = self.endpoint_states.borrow_mut();
+        let idle = &mut endpoint_states.get_mut(key)?.idle;
         while let Some(channel) = idle.pop() {
             if now < idle_until(&channel) && channel.is_quiet() {
                 return Some(channel);
@@ -116,10 +116,10 @@
     /// Keeps a connection for another request.
     pub fn keep_connection(&self, key: EndpointKey, mut channel: Channel) {
         channel.idle_since = self.clock.now();
-        let mut accounts = self.accounts.borrow_mut();
-        if let Some(account) = accounts.get_mut(key) {
-            if account.idle.len() < MOST_IDLE {
-                account.idle.push(channel);
+        let mut endpoint_states = self.endpoint_states.borrow_mut();
+        if let Some(endpoint_state) = endpoint_states.get_mut(key) {
+            if endpoint_state.idle.len() < MOST_IDLE {
+                endpoint_state.idle.push(channel);
             }
         }
     }
@@ -163,7 +163,9 @@
             self.directory.borrow_mut().doubt(key, now);
         }
         let mut set_aside = false;
-        self.account(key, |account| set_aside = account.record.failed(now, fault));
+        self.update_endpoint_state(key, |endpoint_state| {
+            set_aside = endpoint_state.record.failed(now, fault)
+        });
         if set_aside {
             self.log_health(key, true, why);
         }
@@ -172,10 +174,10 @@
     /// An endpoint served a request.
     pub fn endpoint_served(&self, key: EndpointKey) {
         let mut taken_back = false;
-        self.account(key, |account| {
-            let was_aside = account.record.is_aside();
-            account.record.succeeded();
-            taken_back = was_aside && !account.record.is_aside();
+        self.update_endpoint_state(key, |endpoint_state| {
+            let was_aside = endpoint_state.record.is_aside();
+            endpoint_state.record.succeeded();
+            taken_back = was_aside && !endpoint_state.record.is_aside();
         });
         if taken_back {
             self.log_health(key, false, "served a request");
@@ -192,20 +194,20 @@
     }
 
     /// Adds a request to an endpoint's load until the guard is dropped.
-    pub fn place(
+    pub fn begin_run(
         self: &Rc<Self>,
         key: EndpointKey,
         pool: &str,
         footprint: Footprint,
         request: Fingerprint,
-    ) -> Placed {
+    ) -> RunGuard {
         let now = self.clock.now();
         self.turnover(pool, |turnover| turnover.begin(now));
-        self.account(key, |account| {
-            account.load.begin(footprint, now);
-            account.sends.note(now);
+        self.update_endpoint_state(key, |endpoint_state| {
+            endpoint_state.load.begin(footprint, now);
+            endpoint_state.recent_sends.note(now);
         });
-        Placed {
+        RunGuard {
             entry: Rc::clone(self),
             key,
             pool: pool.to_owned(),
@@ -223,7 +225,7 @@
             return;
         }
         let mut ended = None;
-        self.account(key, |account| ended = account.lost.lost(run));
+        self.update_endpoint_state(key, |endpoint_state| ended = endpoint_state.lost.lost(run));
         if let Some(sign) = ended {
             self.runs_ended_with(key, sign, &[run]);
         } else if run.how == LostHow::Broken {
@@ -246,7 +248,9 @@
     pub fn endpoint_ended(&self, key: EndpointKey, sign: EndSign) {
         let now = self.clock.now();
         let mut lost = Vec::new();
-        self.account(key, |account| lost = account.lost.ended(sign, now));
+        self.update_endpoint_state(key, |endpoint_state| {
+            lost = endpoint_state.lost.ended(sign, now)
+        });
         if !lost.is_empty() {
             self.runs_ended_with(key, sign, &lost);
         }
@@ -258,10 +262,10 @@
         let mut endpoint = String::new();
         let mut pool = String::new();
         let mut life = 0;
-        self.account(key, |account| {
-            endpoint.clone_from(&account.id);
-            pool.clone_from(&account.pool);
-            life = account.life;
+        self.update_endpoint_state(key, |endpoint_state| {
+            endpoint.clone_from(&endpoint_state.id);
+            pool.clone_from(&endpoint_state.pool);
+            life = endpoint_state.life;
         });
         self.log.belief(Decision::EndpointEnded {
             endpoint,
@@ -283,20 +287,20 @@
     }
 
     /// Opens an account for each endpoint that has none.
-    pub(super) fn open_accounts(&self) {
+    pub(super) fn add_missing_endpoint_states(&self) {
         let directory = self.directory.borrow();
         let smallest = directory.smallest_pool();
         self.quarantine.borrow_mut().set_endpoints(smallest);
-        let mut accounts = self.accounts.borrow_mut();
+        let mut endpoint_states = self.endpoint_states.borrow_mut();
         for (key, endpoint) in directory.iter() {
-            if !accounts.contains_key(key) {
-                let account = Account {
+            if !endpoint_states.contains_key(key) {
+                let endpoint_state = EndpointState {
                     id: endpoint.listed.id.clone(),
                     pool: endpoint.listed.pool.clone(),
                     life: endpoint.digest,
-                    ..Account::default()
+                    ..EndpointState::default()
                 };
-                accounts.insert(key, account);
+                endpoint_states.insert(key, endpoint_state);
             }
         }
     }
@@ -305,22 +309,24 @@
     pub(super) fn forget(&self, gone: &[EndpointKey]) {
         for key in gone {
             self.endpoint_ended(*key, EndSign::Unlisted);
-            self.accounts.borrow_mut().remove(*key);
+            self.endpoint_states.borrow_mut().remove(*key);
             self.prefixes.borrow_mut().forget(*key);
         }
     }
 
     /// Closes connections that have been idle too long.
     pub(super) fn close_idle(&self, now: Millis) {
-        for account in self.accounts.borrow_mut().values_mut() {
-            account.idle.retain(|channel| now < idle_until(channel));
+        for endpoint_state in self.endpoint_states.borrow_mut().values_mut() {
+            endpoint_state
+                .idle
+                .retain(|channel| now < idle_until(channel));
         }
     }
 }
 
 /// A request at an endpoint.
 #[derive(Debug)]
-pub struct Placed {
+pub struct RunGuard {
     entry: Rc<Entry>,
     key: EndpointKey,
     pool: String,
@@ -343,13 +349,15 @@
     Lost(LostHow),
 }
 
-impl Placed {
+impl RunGuard {
     /// The endpoint has read the prompt.
     pub fn read(&self) {
         if !self.is_read.replace(true) {
             let footprint = self.footprint;
             self.entry
-                .account(self.key, |account| account.load.read(footprint));
+                .update_endpoint_state(self.key, |endpoint_state| {
+                    endpoint_state.load.read(footprint)
+                });
         }
     }
 
@@ -369,17 +377,19 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.read();
         let now = self.entry.clock.now();
         self.entry.turnover(&self.pool, |t| t.end(now));
         let footprint = self.footprint;
         self.entry
-            .account(self.key, |account| account.load.end(footprint));
+            .update_endpoint_state(self.key, |endpoint_state| {
+                endpoint_state.load.end(footprint)
+            });
         if self.end.get() != RunEnd::Undecided {
             self.entry
-                .account(self.key, |account| account.load.made_room());
+                .update_endpoint_state(self.key, |endpoint_state| endpoint_state.load.made_room());
         }
         match self.end.get() {
             RunEnd::Answered => self.entry.run_finished(self.request),
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The state of a direct entry that its tasks share, and where it is in its life.
 
-mod accounts;
 mod announcements;
 mod beliefs;
+mod endpoint_states;
 mod limited;
 mod store;
 mod suspicion;
@@ -15,7 +15,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{watch, Notify};
 
-pub use self::accounts::{Account, Accounts, Placed};
+pub use self::endpoint_states::{EndpointState, EndpointStates, RunGuard};
 use self::limited::Questions;
 use self::store::LargeAnswer;
 use crate::clock::{Clock, Millis};
@@ -103,7 +103,7 @@
     pub rewatch_requested: Notify,
     /// Since when a peer has applied changes that this entry has not, and up to which revision.
     behind: Cell<Option<(Millis, Revision)>>,
-    accounts: RefCell<Accounts>,
+    endpoint_states: RefCell<EndpointStates>,
     directory: RefCell<Directory>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     /// Since when a peer has had a newer version of the configuration.
@@ -173,7 +173,7 @@
             relist_requested: Notify::new(),
             rewatch_requested: Notify::new(),
             behind: Cell::default(),
-            accounts: RefCell::default(),
+            endpoint_states: RefCell::default(),
             directory: RefCell::default(),
             catalog: RefCell::default(),
             missing_since: Cell::default(),
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::{Account, Entry};
+use super::{EndpointState, Entry};
 use crate::clock::Millis;
 use crate::direct::channel::{Channel, Failure};
 use crate::direct::decision::Decision;
@@ -141,7 +141,7 @@
             return;
         };
         let mut is_new = false;
-        self.account(key, |account| is_new = !account.begin_check());
+        self.update_endpoint_state(key, |endpoint_state| is_new = !endpoint_state.begin_check());
         if !is_new {
             return;
         }
@@ -152,11 +152,13 @@
                 Err(Failure::Refused) => entry.endpoint_ended(key, EndSign::Refused),
                 Err(_) => {}
                 Ok(channel) => {
-                    entry.account(key, |account| account.connected(begun));
+                    entry.update_endpoint_state(key, |endpoint_state| {
+                        endpoint_state.connected(begun)
+                    });
                     entry.keep_connection(key, channel);
                 }
             }
-            entry.account(key, Account::end_check);
+            entry.update_endpoint_state(key, EndpointState::end_check);
             entry.quarantine_changed.notify_waiters();
         });
     }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -250,10 +250,10 @@
         Covers::Nothing => Work::default(),
     };
     let directory = entry.directory();
-    let accounts = entry.accounts();
-    let all = accounts
+    let endpoint_states = entry.endpoint_states();
+    let all = endpoint_states
         .iter()
-        .map(|(key, account)| (key, of(&account.load)));
+        .map(|(key, endpoint_state)| (key, of(&endpoint_state.load)));
     all.filter(|(_, work)| !work.is_at_rest())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
@@ -300,12 +300,12 @@
     };
     let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
     let directory = entry.directory();
-    let mut accounts = entry.accounts_mut();
-    for (key, account) in accounts.iter_mut() {
+    let mut endpoint_states = entry.endpoint_states_mut();
+    for (key, endpoint_state) in endpoint_states.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| told.get(&digest)) {
-            Some(work) => account.load.told(teller, *work, lasts, now),
-            None => account.load.told_at_rest(teller, now),
+            Some(work) => endpoint_state.load.told(teller, *work, lasts, now),
+            None => endpoint_state.load.told_at_rest(teller, now),
         }
     }
 }
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -12,7 +12,7 @@
 use crate::direct::dialect::Verdict;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
-use crate::direct::entry::{Placed, ProcessState};
+use crate::direct::entry::{ProcessState, RunGuard};
 use crate::direct::health::Fault;
 use crate::direct::relay::{self, Broken, Onward};
 
@@ -24,7 +24,7 @@
     /// The endpoint, with what was estimated for it.
     pub(super) choice: Choice,
     /// Keeps the request in the endpoint's load.
-    pub(super) placed: &'a Placed,
+    pub(super) placed: &'a RunGuard,
     /// When the request was sent.
     pub(super) sent_at: Millis,
 }
@@ -77,10 +77,10 @@
 
     /// Takes note of what the endpoint tells of itself.
     fn heard(&self, key: EndpointKey, verdict: &Verdict, now: Millis) {
-        self.entry.account(key, |account| {
-            account.hear(now);
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            endpoint_state.record_contact(now);
             if let Some(report) = verdict.report {
-                account.load.reported(report, now);
+                endpoint_state.load.reported(report, now);
             }
         });
     }
@@ -116,7 +116,7 @@
         if verdict.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
-                .account(key, |account| account.load.turned_away(now));
+                .update_endpoint_state(key, |endpoint_state| endpoint_state.load.turned_away(now));
             self.note_turned_away();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
@@ -135,9 +135,9 @@
         let directory = self.entry.directory();
         let slots = directory.get(key).map_or(1, |e| e.listed.slots.max(1));
         let mut busy = false;
-        self.entry.account(key, |account| {
-            let running = account.load.total(now).running;
-            busy = running * 2 >= slots || account.load.waiting(now) > 0;
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            let running = endpoint_state.load.total(now).running;
+            busy = running * 2 >= slots || endpoint_state.load.waiting(now) > 0;
         });
         busy
     }
@@ -235,15 +235,18 @@
     }
 
     /// The answer's first byte is about to leave.
-    fn began(&self, choice: &Choice, placed: &Placed, sent_at: Millis) {
+    fn began(&self, choice: &Choice, placed: &RunGuard, sent_at: Millis) {
         let now = self.entry.clock.now();
         placed.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
         self.entry.prefixes.borrow_mut().read(choice.key, ids, now);
-        self.entry.account(choice.key, |account| {
-            account.hear(now);
-            account.record.began(now, now - sent_at, choice.usual_ms);
-        });
+        self.entry
+            .update_endpoint_state(choice.key, |endpoint_state| {
+                endpoint_state.record_contact(now);
+                endpoint_state
+                    .record
+                    .began(now, now - sent_at, choice.usual_ms);
+            });
         let mut progress = self.progress.borrow_mut();
         if progress.first.is_none() {
             progress.first = Some(now);
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -27,7 +27,7 @@
     pub(super) fn choose(&self, is_candidate: impl Fn(EndpointKey) -> bool) -> Option<Choice> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
-        let accounts = self.entry.accounts();
+        let endpoint_states = self.entry.endpoint_states();
         let settings = self.entry.settings.borrow();
         let demand = self.demand(&settings.zone, now);
         let warm_up = self.warm_up();
@@ -37,14 +37,15 @@
             .filter(|(key, endpoint)| is_candidate(*key) && self.may_run_at(endpoint, &settings))
             .filter(|(_, endpoint)| self.may_ask_permit(endpoint, now))
             .filter_map(|(key, endpoint)| {
-                let account = accounts.get(key)?;
+                let endpoint_state = endpoint_states.get(key)?;
                 let share = self.entry.warm_up_share(endpoint, warm_up);
-                let is_allowed = share.is_none_or(|share| account.sends.allows(share, now));
+                let is_allowed =
+                    share.is_none_or(|share| endpoint_state.recent_sends.allows(share, now));
                 is_allowed.then_some(Candidate {
                     key,
                     endpoint,
-                    load: &account.load,
-                    record: &account.record,
+                    load: &endpoint_state.load,
+                    record: &endpoint_state.record,
                     warming: endpoint.warm_at(warming_time) > now,
                     is_limited: self.entry.limit(key).is_some(),
                 })
@@ -105,8 +106,10 @@
             return false;
         };
         let share = self.entry.warm_up_share(endpoint, self.warm_up());
-        let accounts = self.entry.accounts();
-        let sends = accounts.get(key).map(|account| &account.sends);
+        let endpoint_states = self.entry.endpoint_states();
+        let sends = endpoint_states
+            .get(key)
+            .map(|endpoint_state| &endpoint_state.recent_sends);
         let allows = |share| sends.is_some_and(|sends| sends.allows(share, now));
         let may_run = self.may_run_at(endpoint, &self.entry.settings.borrow());
         directory.takes_work(key, now) && may_run && share.is_none_or(allows)
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -121,10 +121,11 @@
     fn free_endpoints(&self) -> usize {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
-        let accounts = self.entry.accounts();
+        let endpoint_states = self.entry.endpoint_states();
         let is_free = |key: EndpointKey, slots: u32| {
-            let account = accounts.get(key);
-            let has_room = account.is_some_and(|account| account.load.present(now) < slots);
+            let endpoint_state = endpoint_states.get(key);
+            let has_room = endpoint_state
+                .is_some_and(|endpoint_state| endpoint_state.load.present(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
         let open = directory.of_pool(&self.pool, now);
--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -13,9 +13,10 @@
     pub(super) fn log_placed(&self, choice: &Choice, endpoint: &str, now: Millis) {
         self.progress.borrow_mut().endpoint = endpoint.into();
         let mut running = 0;
-        self.entry.account(choice.key, |account| {
-            running = account.load.total(now).running;
-        });
+        self.entry
+            .update_endpoint_state(choice.key, |endpoint_state| {
+                running = endpoint_state.load.total(now).running;
+            });
         let against = self.entry.decline_reason(choice.key);
         if let Some(what) = against {
             self.entry.metrics.sent_against(what);
@@ -61,8 +62,8 @@
         let directory = self.entry.directory();
         let listed = directory.get(key).map(|e| &e.listed);
         let endpoint = listed.map(|listed| listed.id.clone());
-        let accounts = self.entry.accounts();
-        let account = accounts.get(key);
+        let endpoint_states = self.entry.endpoint_states();
+        let endpoint_state = endpoint_states.get(key);
         let failed = Decision::AttemptFailed {
             endpoint: endpoint.unwrap_or_else(|| self.progress.borrow().endpoint.clone()),
             attempt: self.attempts,
@@ -70,7 +71,8 @@
             may_have_run,
             attempts_left: self.route().max_attempts.saturating_sub(self.attempts),
             urgency: Some(self.route().priority),
-            running: account.map(|account| account.load.total(now).running.saturating_sub(1)),
+            running: endpoint_state
+                .map(|endpoint_state| endpoint_state.load.total(now).running.saturating_sub(1)),
             slots: listed.map(|listed| listed.slots),
             fingerprint: if may_have_run {
                 self.request.to_string()
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -121,7 +121,7 @@
         self.note_placement(&choice);
         let placed = self
             .entry
-            .place(key, &self.pool, choice.footprint, self.request);
+            .begin_run(key, &self.pool, choice.footprint, self.request);
         let is_own = |head: &ResponseHead| self.is_own(key, head);
         let sending = channel.send(head, &self.incoming.body, is_own);
         let reply = match self.wait(sending, key, now).await {
@@ -243,7 +243,8 @@
     /// Whether anything was heard of an endpoint since a time.
     fn was_heard(&self, key: EndpointKey, since: Millis) -> bool {
         let mut heard = Millis(0);
-        self.entry.account(key, |account| heard = account.heard);
+        self.entry
+            .update_endpoint_state(key, |endpoint_state| heard = endpoint_state.last_contact_at);
         heard > since
     }
 }
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -6,7 +6,7 @@
 use super::Job;
 use crate::clock::Millis;
 use crate::direct::decision::RefusedWhy;
-use crate::direct::entry::Account;
+use crate::direct::entry::EndpointState;
 use crate::quarantine::{Standing, ENDS_TO_SEPARATE};
 
 /// Ends in a row from which on a copy is turned away, rather than sent, when it has waited in vain for another one.
@@ -59,9 +59,9 @@
     /// request that ends endpoints would end a second one for each of its own.
     fn is_checked(&self) -> bool {
         let last = self.tried.last();
-        let accounts = self.entry.accounts();
-        last.and_then(|key| accounts.get(*key))
-            .is_some_and(Account::is_checked)
+        let endpoint_states = self.entry.endpoint_states();
+        last.and_then(|key| endpoint_states.get(*key))
+            .is_some_and(EndpointState::is_end_check_running)
     }
 
     /// Takes the turn of a request under suspicion just before it is sent; false where another copy was first, or
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -91,7 +91,7 @@
     let (clock, entry) = entry();
     entry.apply_listing(vec![life("a", 100, 1)], 1);
     let before = key(&entry.directory());
-    let placed = entry.place(before, "pool", FOOTPRINT, Fingerprint(1));
+    let placed = entry.begin_run(before, "pool", FOOTPRINT, Fingerprint(1));
     entry.endpoint_failed(before, Fault::Contact, "test");
     let now = clock.now();
     let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
@@ -99,18 +99,24 @@
     entry.prefixes.borrow_mut().note(before, ids, now, now);
     entry.apply_changes(vec![Change::Put(life("a", 200, 2))], 2);
     let after = key(&entry.directory());
-    let accounts = entry.accounts();
-    let account = accounts.get(after).unwrap();
-    assert_eq!(account.load.own(now).running, 0);
-    assert!(!account.record.is_aside());
+    let endpoint_states = entry.endpoint_states();
+    let endpoint_state = endpoint_states.get(after).unwrap();
+    assert_eq!(endpoint_state.load.own(now).running, 0);
+    assert!(!endpoint_state.record.is_aside());
     let kept = entry.prefixes.borrow().kept(after, &parts, Millis(0), now);
     assert_eq!(kept.sent, 0);
-    assert!(accounts.get(before).is_none());
-    drop(accounts);
+    assert!(endpoint_states.get(before).is_none());
+    drop(endpoint_states);
     // The end of what ran in the earlier life changes nothing in the new one.
     drop(placed);
     assert_eq!(
-        entry.accounts().get(after).unwrap().load.own(now).running,
+        entry
+            .endpoint_states()
+            .get(after)
+            .unwrap()
+            .load
+            .own(now)
+            .running,
         0
     );
 }
