--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -9,10 +9,10 @@
 use tokio::time::sleep;
 
 use crate::direct::answerer::Answerer;
-use crate::direct::decision::EndedHow;
+use crate::direct::decision::RequestOutcome;
 use crate::direct::entry::Entry;
 use crate::direct::handle::handle;
-use crate::direct::intake::{Incoming, Intake, NoRequest};
+use crate::direct::intake::{IncomingRequest, RequestReadError, RequestReader};
 use crate::direct::progress::Progress;
 
 /// Pause after an error of the listener, such as too many open files.
@@ -38,20 +38,24 @@
         tracing::debug!(%err, "small packets may be delayed");
     }
     let (reader, writer) = stream.into_split();
-    let mut intake = Intake::new(reader);
+    let mut intake = RequestReader::new(reader);
     let mut answerer = Answerer::new(writer);
     loop {
         let read = intake.next(&entry, &mut answerer).await;
         let kept = match read {
             Ok(incoming) => serve_one(&entry, &incoming, &mut intake, &mut answerer).await,
-            Err(NoRequest::Refused(refusal)) => {
+            Err(RequestReadError::Refused(refusal)) => {
                 let head = entry.dialect.refusal(refusal, None);
-                if answerer.whole(head, Bytes::new(), true).await.is_ok() {
+                if answerer
+                    .send_response(head, Bytes::new(), true)
+                    .await
+                    .is_ok()
+                {
                     intake.let_caller_read(&mut answerer).await;
                 }
                 false
             }
-            Err(NoRequest::Closed) => false,
+            Err(RequestReadError::Closed) => false,
         };
         if !kept {
             return;
@@ -62,8 +66,8 @@
 /// Serves one request; false when the connection is to be closed.
 async fn serve_one(
     entry: &Rc<Entry>,
-    incoming: &Incoming,
-    intake: &mut Intake,
+    incoming: &IncomingRequest,
+    intake: &mut RequestReader,
     answerer: &mut Answerer,
 ) -> bool {
     let _in_flight = entry.count_in_flight();
@@ -71,7 +75,7 @@
     tokio::select! {
         kept = handle(entry, incoming, answerer, &progress) => kept,
         () = intake.caller_left() => {
-            progress.borrow().log_ended(entry, incoming, EndedHow::CallerGone, 0);
+            progress.borrow().log_ended(entry, incoming, RequestOutcome::CallerGone, 0);
             false
         }
     }
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -4,7 +4,7 @@
 
 use super::{EndpointState, Entry};
 use crate::clock::Millis;
-use crate::direct::channel::{Channel, Failure};
+use crate::direct::channel::{Connection, ExchangeError};
 use crate::direct::decision::Decision;
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
@@ -77,7 +77,9 @@
     pub(super) fn among(&self, pool: &str, key: EndpointKey) -> Among {
         let now = self.clock.now();
         let directory = self.directory.borrow();
-        let others = directory.of_pool(pool, now).filter(|(k, _)| *k != key);
+        let others = directory
+            .available_in_pool(pool, now)
+            .filter(|(k, _)| *k != key);
         Among {
             pool: digest(pool, None),
             endpoints: others.count() + 1,
@@ -117,7 +119,7 @@
     }
 
     fn log_refused(&self, request: Fingerprint, ends: usize, for_ms: u64) {
-        self.log.belief(Decision::RequestRefused {
+        self.log.state_change(Decision::RequestRefused {
             fingerprint: request.to_string(),
             ends,
             for_ms,
@@ -148,8 +150,8 @@
         let entry = Rc::clone(self);
         let begun = self.clock.now();
         actix_rt::spawn(async move {
-            match Channel::connect(address).await {
-                Err(Failure::Refused) => entry.endpoint_ended(key, EndSign::Refused),
+            match Connection::connect(address).await {
+                Err(ExchangeError::Refused) => entry.endpoint_ended(key, EndSign::Refused),
                 Err(_) => {}
                 Ok(channel) => {
                     entry.update_endpoint_state(key, |endpoint_state| {
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -5,16 +5,16 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::catalog::Shape;
+use crate::direct::catalog::ResponseKind;
 use crate::direct::channel::Reply;
 use crate::direct::choose::Choice;
-use crate::direct::decision::EndedHow;
-use crate::direct::dialect::Verdict;
+use crate::direct::decision::RequestOutcome;
+use crate::direct::dialect::ResponseInfo;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
 use crate::direct::entry::{ProcessState, RunGuard};
 use crate::direct::health::Fault;
-use crate::direct::relay::{self, Broken, Onward};
+use crate::direct::relay::{self, RelayContext, RelayError};
 
 /// An answer whose head has arrived, with the attempt that it belongs to.
 #[derive(Debug)]
@@ -38,33 +38,33 @@
     ) -> Attempt {
         let key = answered.choice.key;
         let now = self.entry.clock.now();
-        let verdict = self
+        let response_info = self
             .entry
             .dialect
-            .verdict(&answered.reply.head, &self.ask.id);
-        self.heard(key, &verdict, now);
-        let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
+            .response_info(&answered.reply.head, &self.ask.id);
+        self.heard(key, &response_info, now);
+        let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
         self.entry.record_announcement(key, announcement, id);
         self.entry
             .record_announced_limit(key, announcement.limit, answered.sent_at, id);
-        if verdict.misdirected {
+        if response_info.misdirected {
             answered.placed.undecided();
             return self.misdirected(key);
         }
-        if verdict.not_run {
+        if response_info.not_run {
             answered.placed.undecided();
-            return self.not_run(key, answered.reply, &verdict).await;
+            return self.not_run(key, answered.reply, &response_info).await;
         }
         let status = answered.reply.head.status;
-        if let Some(why) = self.fault(status, &verdict) {
+        if let Some(why) = self.fault(status, &response_info) {
             answered.placed.undecided();
             return self.failed(key, Fault::Answer, why);
         }
         let relaying = async {
-            if !status.is_success() || self.route().shape == Shape::Whole {
-                self.relay_whole(answerer, answered, &verdict).await
+            if !status.is_success() || self.route().shape == ResponseKind::Whole {
+                self.relay_whole(answerer, answered, &response_info).await
             } else {
-                self.relay_events(answerer, answered, &verdict).await
+                self.relay_events(answerer, answered, &response_info).await
             }
         };
         let ended = self
@@ -76,10 +76,10 @@
     }
 
     /// Takes note of what the endpoint tells of itself.
-    fn heard(&self, key: EndpointKey, verdict: &Verdict, now: Millis) {
+    fn heard(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
         self.entry.update_endpoint_state(key, |endpoint_state| {
             endpoint_state.record_contact(now);
-            if let Some(report) = verdict.report {
+            if let Some(report) = response_info.report {
                 endpoint_state.load.reported(report, now);
             }
         });
@@ -96,24 +96,29 @@
     }
 
     /// Why an answer does not count; `None` when it is one for the caller.
-    fn fault(&self, status: StatusCode, verdict: &Verdict) -> Option<&'static str> {
+    fn fault(&self, status: StatusCode, response_info: &ResponseInfo) -> Option<&'static str> {
         if status.is_success() {
-            return (!verdict.sealed).then_some("success without the endpoint's seal");
+            return (!response_info.sealed).then_some("success without the endpoint's seal");
         }
         if self.may_repeat() && status.is_server_error() && self.has_attempts() {
             return Some("the endpoint's own error");
         }
-        (!verdict.sealed).then_some("an error without the endpoint's seal")
+        (!response_info.sealed).then_some("an error without the endpoint's seal")
     }
 
     /// The endpoint says that it did not run the request.
-    async fn not_run(&self, key: EndpointKey, mut reply: Reply, verdict: &Verdict) -> Attempt {
+    async fn not_run(
+        &self,
+        key: EndpointKey,
+        mut reply: Reply,
+        response_info: &ResponseInfo,
+    ) -> Attempt {
         let status = reply.head.status;
         // The body is of no interest, but the connection can be kept once it has been read.
-        if relay::whole(&mut reply).await.is_ok() {
-            self.keep(key, reply, verdict);
+        if relay::read_body(&mut reply).await.is_ok() {
+            self.keep(key, reply, response_info);
         }
-        if verdict.announcement.rest.is_none() {
+        if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
                 .update_endpoint_state(key, |endpoint_state| endpoint_state.load.turned_away(now));
@@ -156,10 +161,10 @@
         &self,
         answerer: &mut Answerer,
         mut answered: Answered<'_>,
-        verdict: &Verdict,
+        response_info: &ResponseInfo,
     ) -> Attempt {
         let key = answered.choice.key;
-        let Ok(body) = relay::whole(&mut answered.reply).await else {
+        let Ok(body) = relay::read_body(&mut answered.reply).await else {
             answered.placed.broken();
             return self.failed(key, Fault::Answer, "the answer broke off");
         };
@@ -170,28 +175,32 @@
         }
         self.began(&answered.choice, answered.placed, answered.sent_at);
         let head = self.entry.dialect.answer(&answered.reply.head);
-        self.keep(key, answered.reply, verdict);
+        self.keep(key, answered.reply, response_info);
         let how = self.account_whole(key, status);
-        if answerer.whole(head, body, self.is_closing()).await.is_err() {
+        if answerer
+            .send_response(head, body, self.is_closing())
+            .await
+            .is_err()
+        {
             return Attempt::CallerGone;
         }
         self.log_ended(how, status.as_u16());
-        Attempt::Over(answerer.is_kept())
+        Attempt::Over(answerer.keeps_connection())
     }
 
     /// Accounts a whole answer to its endpoint.
-    fn account_whole(&self, key: EndpointKey, status: StatusCode) -> EndedHow {
+    fn account_whole(&self, key: EndpointKey, status: StatusCode) -> RequestOutcome {
         if status == StatusCode::GATEWAY_TIMEOUT {
             // The request's own time was over, which says nothing about the endpoint.
-            return EndedHow::EndpointError;
+            return RequestOutcome::EndpointError;
         }
         if status.is_server_error() {
             let why = "the endpoint's own error";
             self.entry.endpoint_failed(key, Fault::Answer, why);
-            return EndedHow::EndpointError;
+            return RequestOutcome::EndpointError;
         }
         self.entry.endpoint_served(key);
-        EndedHow::Served
+        RequestOutcome::Served
     }
 
     /// Relays events as they arrive.
@@ -199,12 +208,12 @@
         &self,
         answerer: &mut Answerer,
         mut answered: Answered<'_>,
-        verdict: &Verdict,
+        response_info: &ResponseInfo,
     ) -> Attempt {
         let key = answered.choice.key;
         let status = answered.reply.head.status.as_u16();
         let head = self.entry.dialect.answer(&answered.reply.head);
-        let onward = Onward {
+        let context = RelayContext {
             position: &self.position,
             close: self.is_closing(),
         };
@@ -214,20 +223,20 @@
         };
         let left = || {
             let now = self.entry.clock.now();
-            self.progress.borrow_mut().piece_left(now);
+            self.progress.borrow_mut().chunk_sent(now);
         };
         let next = async |reply: &mut Reply| self.next_piece(reply).await;
         let reply = &mut answered.reply;
-        match relay::events(reply, answerer, onward, next, begin, left).await {
+        match relay::events(reply, answerer, context, next, begin, left).await {
             Ok(()) => {
                 answered.placed.answered();
-                self.keep(key, answered.reply, verdict);
+                self.keep(key, answered.reply, response_info);
                 self.entry.endpoint_served(key);
-                self.log_ended(EndedHow::Served, status);
-                Attempt::Over(answerer.is_kept())
+                self.log_ended(RequestOutcome::Served, status);
+                Attempt::Over(answerer.keeps_connection())
             }
-            Err(Broken::Caller) => Attempt::CallerGone,
-            Err(Broken::Endpoint) => {
+            Err(RelayError::Caller) => Attempt::CallerGone,
+            Err(RelayError::Endpoint) => {
                 answered.placed.broken();
                 self.failed(key, Fault::Answer, "the stream broke off")
             }
@@ -248,9 +257,9 @@
                     .began(now, now - sent_at, choice.usual_ms);
             });
         let mut progress = self.progress.borrow_mut();
-        if progress.first.is_none() {
-            progress.first = Some(now);
-            let ms = (now - self.incoming.at).0 as f64;
+        if progress.first_byte_at.is_none() {
+            progress.first_byte_at = Some(now);
+            let ms = (now - self.incoming.received_at).0 as f64;
             self.entry
                 .metrics
                 .first_byte(&self.pool, self.priority(), ms);
@@ -258,9 +267,9 @@
     }
 
     /// Keeps the connection for another request, if the answer left it usable.
-    fn keep(&self, key: EndpointKey, reply: Reply, verdict: &Verdict) {
-        if let Some(mut channel) = reply.into_channel() {
-            channel.idle_time = verdict.idle_time;
+    fn keep(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
+        if let Some(mut channel) = reply.into_connection() {
+            channel.idle_time = response_info.idle_time;
             self.entry.keep_connection(key, channel);
         }
     }
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -4,7 +4,7 @@
 use crate::clock::Millis;
 use crate::direct::admission::{Outlook, PlainOutlook};
 use crate::direct::choose::{self, Choice};
-use crate::direct::decision::RefusedWhy;
+use crate::direct::decision::RefusalReason;
 use crate::direct::demand::{Candidate, Demand};
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::residency;
@@ -33,7 +33,7 @@
         let warm_up = self.warm_up();
         let warming_time = warm_up.map_or(Millis(0), |warm_up| warm_up.time);
         let candidates = directory
-            .of_pool(&self.pool, now)
+            .available_in_pool(&self.pool, now)
             .filter(|(key, endpoint)| is_candidate(*key) && self.may_run_at(endpoint, &settings))
             .filter(|(_, endpoint)| self.may_ask_permit(endpoint, now))
             .filter_map(|(key, endpoint)| {
@@ -46,7 +46,7 @@
                     endpoint,
                     load: &endpoint_state.load,
                     record: &endpoint_state.record,
-                    warming: endpoint.warm_at(warming_time) > now,
+                    warming: endpoint.warm_until(warming_time) > now,
                     is_limited: self.entry.limit(key).is_some(),
                 })
             });
@@ -54,18 +54,18 @@
     }
 
     /// Why a request that no endpoint has yet is not sent; `None` where it is.
-    pub(super) fn turned_away(&self, choice: &Choice) -> Option<RefusedWhy> {
+    pub(super) fn turned_away(&self, choice: &Choice) -> Option<RefusalReason> {
         let is_plain = self.catalog.pool(&self.pool)?.engine.is_none();
         if !is_plain && self.leaves_room(choice) {
             let sent_percent = (choice.sent_part.min(1.0) * 100.0) as u32;
-            return Some(RefusedWhy::RoomKept { sent_percent });
+            return Some(RefusalReason::RoomKept { sent_percent });
         }
         let is_admitted = match is_plain {
             _ if self.attempts > 0 => true,
             true => self.plain_outlook(choice).is_admitted(),
             false => self.outlook(choice).is_admitted(),
         };
-        (!is_admitted).then_some(RefusedWhy::Overload {
+        (!is_admitted).then_some(RefusalReason::Overload {
             expected_ms: choice.expected_ms as u64,
             backlog_ms: choice.backlog_ms as u64,
         })
@@ -77,9 +77,9 @@
             band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: self.catalog.tightest_target(&self.pool),
+            tightest: self.catalog.shortest_target(&self.pool),
             left: self.end - self.entry.clock.now(),
-            less_urgent: self.catalog.less_urgent_time(&self.pool, band),
+            less_urgent: self.catalog.longest_less_urgent_timeout(&self.pool, band),
             has_more_urgent: self.has_more_urgent(self.entry.clock.now()),
         }
     }
@@ -132,8 +132,8 @@
             target: self.route().target,
             zone,
             engine,
-            delicate: self.catalog.delicacy(self.route(), &self.pool),
-            pause: self.catalog.tightest_pause(&self.pool),
+            delicate: self.catalog.pause_sensitivity(self.route(), &self.pool),
+            pause: self.catalog.shortest_pause(&self.pool),
             blind: self.entry.peers.borrow().blind(now),
             room: self.room(now),
             draw: rand::random(),
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::direct::catalog::{Catalog, RouteKey};
-use crate::direct::dialect::Ask;
+use crate::direct::dialect::ParsedRequest;
 use crate::direct::freshness::Freshness;
 use crate::ids::TeamKey;
 
@@ -15,7 +15,7 @@
     /// When it was last proven to be the newest.
     pub freshness: &'a Freshness,
     /// Age of that proof up to which requests with a key may run; `None` for any.
-    pub key_proof_age: Option<Millis>,
+    pub max_key_proof_age: Option<Millis>,
 }
 
 /// A request that may run.
@@ -45,10 +45,14 @@
 ///
 /// A denial is only told when the configuration is fresh; otherwise it may be a newer one that
 /// allows the request.
-pub fn resolve(knowledge: Knowledge<'_>, ask: &Ask, now: Millis) -> Result<Allowed, Denied> {
+pub fn resolve(
+    knowledge: Knowledge<'_>,
+    ask: &ParsedRequest,
+    now: Millis,
+) -> Result<Allowed, Denied> {
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
-        .key_proof_age
+        .max_key_proof_age
         .is_none_or(|bound| knowledge.freshness.within(now, bound));
     let Some(route) = catalog.route(&ask.host, &ask.path) else {
         return Err(when_fresh(fresh, Denied::NoRoute));
