--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -6,7 +6,7 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Limits, PermitBucket, PermitDecision, PermitGrant, Target};
-use violetline::direct::peers::{Coordinator, Hello, PeerBook, ZoneId};
+use violetline::direct::peers::{Coordinator, GossipMessage, PeerTable, ZoneId};
 use violetline::rate::Rate;
 
 const TARGET: Target = Target {
@@ -14,7 +14,7 @@
     zone: None,
 };
 const OWN: Coordinator = Coordinator::Own {
-    part: 1.0,
+    visible_share: 1.0,
     is_settled: true,
 };
 
@@ -113,7 +113,7 @@
     ));
     limits.round(|_| true, Millis(9_010));
     let unsettled = Coordinator::Own {
-        part: 1.0,
+        visible_share: 1.0,
         is_settled: false,
     };
     for now in 9_011..10_011 {
@@ -166,19 +166,19 @@
 }
 
 /// Books of three entries, one in each of two zones and one more, that hear each other at a time.
-fn books(zones: &[&str], now: Millis) -> Vec<PeerBook> {
+fn books(zones: &[&str], now: Millis) -> Vec<PeerTable> {
     let address = |i: usize| ([10, 0, 0, i as u8], 7_000).into();
     let member = |i: usize| {
-        let mut book = PeerBook::new(address(i), &[], i as u32);
+        let mut book = PeerTable::new(address(i), &[], i as u32);
         book.set_zone(zones[i]);
         for (peer, zone) in zones.iter().enumerate().filter(|(peer, _)| *peer != i) {
-            let hello = Hello {
+            let hello = GossipMessage {
                 zone: ZoneId::of(zone),
                 ..hello(peer as u64, 1, None)
             };
-            book.hear(address(peer), &hello, now);
+            book.record_message(address(peer), &hello, now);
         }
-        book.note_serving(false, now);
+        book.update_serving_peers(false, now);
         book
     };
     (0..zones.len()).map(member).collect()
@@ -190,7 +190,7 @@
 fn one_coordinator() {
     let zones = ["a", "b", "c"];
     let mut books = books(&zones, Millis(5_000));
-    let by = |books: &[PeerBook], i: usize, endpoint, now| {
+    let by = |books: &[PeerTable], i: usize, endpoint, now| {
         books[i].coordinator(endpoint, ZoneId::of("b"), Millis(0), Millis(now), |_| false)
     };
     for endpoint in 0..20 {
@@ -198,25 +198,25 @@
         assert_eq!(by(&books, 0, endpoint, 5_500), Coordinator::Peer(b));
         assert_eq!(by(&books, 2, endpoint, 5_500), Coordinator::Peer(b));
         assert!(
-            matches!(by(&books, 1, endpoint, 5_500), Coordinator::Own { part, .. } if part == 1.0)
+            matches!(by(&books, 1, endpoint, 5_500), Coordinator::Own { visible_share, .. } if visible_share == 1.0)
         );
     }
     // The entry of the zone falls silent.
     for (i, peer) in [(0, 2), (2, 0)] {
-        let hello = Hello {
+        let hello = GossipMessage {
             zone: ZoneId::of(zones[peer]),
             ..hello(peer as u64, 2, None)
         };
-        books[i].hear(
+        books[i].record_message(
             ([10, 0, 0, peer as u8], 7_000).into(),
             &hello,
             Millis(8_000),
         );
-        books[i].note_serving(false, Millis(8_000));
+        books[i].update_serving_peers(false, Millis(8_000));
     }
     for endpoint in 0..20 {
         let own = [0, 2].map(|i| by(&books, i, endpoint, 8_100));
-        let is_own = |by: &Coordinator| matches!(by, Coordinator::Own { part, .. } if *part < 0.7);
+        let is_own = |by: &Coordinator| matches!(by, Coordinator::Own { visible_share, .. } if *visible_share < 0.7);
         assert_eq!(own.iter().filter(|by| is_own(by)).count(), 1, "{own:?}");
     }
 }
