--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -10,7 +10,9 @@
 
 use slotmap::{new_key_type, SlotMap};
 
-use crate::announced::{is_other_life, Announced, Announcement, FormerLives, Unwilling};
+use crate::announced::{
+    is_other_incarnation, AnnouncedState, Announcement, DeclineReason, FormerIncarnations,
+};
 use crate::clock::Millis;
 use crate::direct::cordons::Cordons;
 pub use crate::direct::listed::{Change, Cordon, ListedEndpoint, Listing, Revision};
@@ -58,7 +60,7 @@
     pub digest: u32,
     /// What it has announced of itself. No word of the list takes that back: the list hears later than the callers
     /// of the endpoint, and not at all while the store is away.
-    pub announced: Announced,
+    pub announced: AnnouncedState,
     /// Until when it warms up by its entries, counted from when they were taken; 0 where none said so.
     told_warm_at: Millis,
     /// When something showed that it may have begun to warm up since its newest entry.
@@ -108,7 +110,7 @@
     arena: SlotMap<EndpointKey, Endpoint>,
     by_id: HashMap<String, EndpointKey>,
     by_digest: HashMap<u32, EndpointKey>,
-    former: FormerLives,
+    former: FormerIncarnations,
     cordons: Cordons,
     /// Whether the list can't be read now.
     away: bool,
@@ -281,10 +283,10 @@
         announcement: Announcement,
         now: Millis,
         longest: Millis,
-    ) -> Option<Announced> {
+    ) -> Option<AnnouncedState> {
         let endpoint = self.arena.get_mut(key)?;
         let before = endpoint.announced;
-        endpoint.announced.take(announcement, now, longest);
+        endpoint.announced.apply(announcement, now, longest);
         Some(before)
     }
 
@@ -313,7 +315,8 @@
     /// When the first endpoint of a pool has rested that would take work otherwise; `None` where none rests.
     pub fn earliest_backoff_end(&self, pool: &str, now: Millis) -> Option<Millis> {
         let of_pool = self.arena.values().filter(|e| e.listed.pool == pool);
-        let resting = of_pool.filter(|e| e.announced.standing(now) == Some(Unwilling::Rests));
+        let resting =
+            of_pool.filter(|e| e.announced.decline_reason(now) == Some(DeclineReason::Rests));
         let resting = resting.filter(|e| self.is_open(e, e.announced.rests_until));
         resting.map(|e| e.announced.rests_until).min()
     }
@@ -355,7 +358,7 @@
 
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let is_willing = endpoint.announced.standing(now).is_none();
+        let is_willing = endpoint.announced.decline_reason(now).is_none();
         is_willing && endpoint.status.is_open() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
@@ -379,7 +382,7 @@
         if endpoint.listed.revision > listed.revision {
             return None;
         }
-        if is_other_life(endpoint.listed.born, listed.born) {
+        if is_other_incarnation(endpoint.listed.born, listed.born) {
             self.remove(key, now);
             self.insert(listed, now);
             return Some(key);
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -298,7 +298,10 @@
         );
         let quarantine = self.quarantine.borrow();
         metrics.set("requests_suspected", quarantine.len() as u64);
-        metrics.set("requests_refused", quarantine.refused(now).len() as u64);
+        metrics.set(
+            "requests_refused",
+            quarantine.refused_requests(now).len() as u64,
+        );
         metrics.set(
             "limited_endpoints",
             self.limits.borrow().limited_endpoints(now) as u64,
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -20,7 +20,7 @@
 };
 pub use self::observation::LimitObservation;
 pub use self::permit_bucket::PermitBucket;
-use crate::announced::NamedLimit;
+use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::direct::peers::{Coordinator, ZoneId};
@@ -82,17 +82,17 @@
     pub fn record_answer(
         &mut self,
         target: Target,
-        named: NamedLimit,
+        named: AnnouncedLimit,
         sent_at: Millis,
         now: Millis,
     ) -> Option<Option<Rate>> {
         let is_known = self.by_endpoint.contains_key(&target.endpoint);
         let limit = match named {
             // What stood, stands.
-            NamedLimit::Unreadable => return None,
-            NamedLimit::None if !is_known => return None,
-            NamedLimit::None => None,
-            NamedLimit::Rate(rate) => Some(rate),
+            AnnouncedLimit::Unreadable => return None,
+            AnnouncedLimit::None if !is_known => return None,
+            AnnouncedLimit::None => None,
+            AnnouncedLimit::Rate(rate) => Some(rate),
         };
         let received_at = now;
         let word = LimitObservation {
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::hello;
-use violetline::announced::NamedLimit;
+use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{Limits, PermitBucket, PermitDecision, PermitGrant, Target};
 use violetline::direct::peers::{Coordinator, GossipMessage, PeerTable, ZoneId};
@@ -99,7 +99,7 @@
     limits.round(|_| true, Millis(1_000));
     limits.record_answer(
         TARGET,
-        NamedLimit::Rate(Rate(1_000)),
+        AnnouncedLimit::Rate(Rate(1_000)),
         Millis(1_000),
         Millis(1_001),
     );
@@ -135,7 +135,7 @@
     let mut asker = Limits::default();
     asker.record_answer(
         TARGET,
-        NamedLimit::Rate(Rate(1_000)),
+        AnnouncedLimit::Rate(Rate(1_000)),
         Millis(900),
         Millis(950),
     );
@@ -145,7 +145,7 @@
     assert_eq!(answer.given, PermitGrant::Elsewhere(other));
     let answer = limits.handle_request(&ask, OWN, Millis(1_001));
     assert_eq!(answer.given, PermitGrant::Permits(1));
-    limits.record_answer(TARGET, NamedLimit::None, Millis(1_002), Millis(1_010));
+    limits.record_answer(TARGET, AnnouncedLimit::None, Millis(1_002), Millis(1_010));
     let ask = asker.permit_request(TARGET, 2, 0, 0, Millis(1_012));
     let answer = limits.handle_request(&ask, OWN, Millis(1_012));
     asker.handle_response(TARGET, other, Some(&answer), 0, Millis(1_014));
@@ -156,7 +156,12 @@
 #[test]
 fn no_answer() {
     let mut limits = Limits::default();
-    limits.record_answer(TARGET, NamedLimit::Rate(Rate(1_000)), Millis(0), Millis(10));
+    limits.record_answer(
+        TARGET,
+        AnnouncedLimit::Rate(Rate(1_000)),
+        Millis(0),
+        Millis(10),
+    );
     let peer = ([10, 0, 0, 9], 7_000).into();
     let step = limits.decide(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
     assert_eq!(step, PermitDecision::Ask(peer));
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -8,7 +8,7 @@
 
 use fleet::{Fleet, Scenario, CRASHING_REQUEST};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Notice, Quarantine, Standing, MOST_NOTICES};
+use violetline::quarantine::{Notice, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE};
 
 const KILLING: Scenario = Scenario {
     entries: 3,
@@ -118,11 +118,11 @@
     let now = fleet.time();
     let told = fleet.members[1]
         .quarantine
-        .refused_notices(MOST_NOTICES, now);
+        .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
     let mut fresh = Quarantine::started_at(now);
     told.iter().for_each(|notice: &Notice| {
-        fresh.take(notice, now);
+        fresh.apply_notice(notice, now);
     });
-    let standing = fresh.standing(Fingerprint(CRASHING_REQUEST as u64), now);
-    assert!(matches!(standing, Standing::Refused { .. }));
+    let standing = fresh.request_status(Fingerprint(CRASHING_REQUEST as u64), now);
+    assert!(matches!(standing, QuarantineStatus::Refused { .. }));
 }
