--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -14,7 +14,8 @@
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
 use crate::direct::peers::{
-    self, GossipMessage, Tell, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, ROUND_INTERVAL,
+    self, GossipMessage, GossipTarget, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES,
+    ROUND_INTERVAL,
 };
 use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
@@ -132,7 +133,7 @@
     }
     let source = entry.peers.borrow().proof_source(rand::random());
     if let Some(to) = source {
-        let tell = Tell {
+        let tell = GossipTarget {
             to,
             work_scope: WorkScope::Nothing,
         };
@@ -204,7 +205,7 @@
 
 /// Answers a peer that asks for a proof.
 async fn answer(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
-    let tell = Tell {
+    let tell = GossipTarget {
         to,
         work_scope: WorkScope::Nothing,
     };
@@ -213,7 +214,7 @@
 }
 
 /// What this entry tells one peer now.
-fn hello_for(entry: &Entry, tell: Tell, now: Millis) -> GossipMessage {
+fn hello_for(entry: &Entry, tell: GossipTarget, now: Millis) -> GossipMessage {
     let work = work_for(entry, tell.work_scope, now);
     let mut book = entry.peers.borrow_mut();
     let since = book.placements_since(tell.work_scope, now);
@@ -280,7 +281,7 @@
     if hello.version <= entry.version() {
         entry.confirm_catalog_at(hello.catalog_revision);
     }
-    if let (Some(asked), Some(age)) = (heard.asked, hello.proof_age_ms) {
+    if let (Some(asked), Some(age)) = (heard.echoed_sent_at, hello.proof_age_ms) {
         if hello.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
@@ -329,7 +330,7 @@
             prefixes.note(key, std::iter::once(placed.segment_id), now, now);
         }
         if hello.work_scope == WorkScope::Sender {
-            of_zone.hear(*placed, now);
+            of_zone.add_if_new(*placed, now);
         }
     }
 }
