--- a/src/direct/limits/permit_bucket.rs
+++ b/src/direct/limits/permit_bucket.rs
@@ -1,106 +1,122 @@
-//! What the coordinator of a limited endpoint gives out, and when those that get nothing are to ask again.
+//! A token bucket from which the coordinator of a limited endpoint issues permits. It also
+//! schedules when entries that got no permit are to ask again.
 
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::rate::Rate;
 
-/// Part of a limit that one coordinator gives out: two that don't know of each other, in two parts of a fleet or while one
-/// takes over from another, stay within one and a half times the limit together.
-const USED_PART: f64 = 0.7;
-/// Permits a second that are given out below any limit, so that somebody hears when it ends.
-const LEAST_PER_S: f64 = 0.2;
-/// Permits that may be saved up while nobody asks.
-const SAVED: f64 = 2.0;
-/// Span whose permits may be saved up, where they are more.
-const SAVED_MS: f64 = 100.0;
-/// Those that ask for each permit by the times that they are told: some don't come back.
-const ASKERS: f64 = 3.0;
-/// Longest time until one asks again: with more, entries that have work would not learn of free permits.
-const LONGEST_WAIT: Millis = Millis(10_000);
-/// Shortest such time: at high limits some permits gather meanwhile, and are given out together.
-const SHORTEST_WAIT: Millis = Millis(60);
-/// Time after its turn in which an urgent asker may still come before less urgent ones are given its permit.
-const LATE: Millis = Millis(100);
-/// Of so many permits one is given out whatever the urgency, so that no band is left without.
-const FOR_ALL: u32 = 8;
+/// Fraction of the limit that one coordinator issues. Two coordinators that do not know of each
+/// other, in two parts of a split fleet or during a handover, together stay below 1.5 times the
+/// limit.
+const ISSUED_FRACTION: f64 = 0.7;
+/// Lowest rate in permits per second, however low the limit is: some requests must get through so
+/// that the fleet learns when the limit ends.
+const MIN_RATE_PER_S: f64 = 0.2;
+/// Permits that may accumulate while nobody asks.
+const MIN_BURST: f64 = 2.0;
+/// Time span, in ms, whose permits may accumulate if that is more than [`MIN_BURST`].
+const BURST_MS: f64 = 100.0;
+/// Askers that are scheduled per permit: some of them do not come back.
+const ASKERS_PER_PERMIT: f64 = 3.0;
+/// Longest delay before an asker is to try again. With a longer one, entries that have requests
+/// waiting would not learn of free permits.
+const MAX_RETRY_DELAY: Millis = Millis(10_000);
+/// Shortest such delay. At high limits several permits accumulate meanwhile and are issued
+/// together.
+const MIN_RETRY_DELAY: Millis = Millis(60);
+/// How long after its retry time a more urgent asker may still arrive before its permit goes to
+/// less urgent ones.
+const RESERVATION_GRACE: Millis = Millis(100);
+/// One of this many permits is issued whatever the urgency, so that no band starves.
+const UNRESERVED_INTERVAL: u32 = 8;
 
-/// What one entry gives out for one endpoint.
+/// Token bucket of the permits that one entry issues for one endpoint. A permit allows one request.
 #[derive(Debug, Clone, Copy)]
 pub struct PermitBucket {
-    /// Permits at hand.
-    level: f64,
-    /// Up to when they are counted.
-    filled: Millis,
-    /// The turn of the next asker that gets nothing, by band.
-    next_turn: [Millis; BANDS],
-    /// Until when one of each band is expected to come back.
-    expected: [Millis; BANDS],
-    /// Permits given out, the count of [`FOR_ALL`].
-    given: u32,
+    /// Permits available at `refilled_at`; may be fractional.
+    available: f64,
+    /// Time up to which the refill has been added.
+    refilled_at: Millis,
+    /// Earliest retry time for the next asker that gets no permit, by urgency band.
+    next_retry_at: [Millis; BANDS],
+    /// Until when one permit is held back for an asker of each band that was told to come back.
+    reserved_until: [Millis; BANDS],
+    /// Permits issued so far, for [`UNRESERVED_INTERVAL`]; wraps around.
+    issued: u32,
 }
 
 impl PermitBucket {
-    /// An allowance from which nothing is given out before `opens`; from then on it fills.
-    pub fn empty_until(opens: Millis) -> Self {
+    /// An empty bucket that starts to fill at `start`.
+    pub fn empty_until(start: Millis) -> Self {
         Self {
-            level: 0.0,
-            filled: opens,
-            next_turn: [Millis(0); BANDS],
-            expected: [Millis(0); BANDS],
-            given: 0,
+            available: 0.0,
+            refilled_at: start,
+            next_retry_at: [Millis(0); BANDS],
+            reserved_until: [Millis(0); BANDS],
+            issued: 0,
         }
     }
 
-    /// The same with one permit at hand.
+    /// A bucket that holds one permit and fills from now on.
     pub fn with_one_permit(now: Millis) -> Self {
         Self {
-            level: 1.0,
+            available: 1.0,
             ..Self::empty_until(now)
         }
     }
 
-    /// Takes up to `wanted` permits for requests of a band of urgency, of `part` of the limit; where there is none, when to ask
-    /// again.
+    /// Takes up to `wanted` permits for requests of an urgency band (0 is the most urgent) and
+    /// returns how many were taken, at least one. `limit` is the endpoint's limit for the whole
+    /// fleet, and `share`, from 0 to 1, is the part of it that this bucket issues.
+    ///
+    /// # Errors
+    ///
+    /// The time at which to ask again if no permit is available.
     pub fn take(
         &mut self,
         limit: Rate,
-        part: f64,
+        share: f64,
         band: usize,
         wanted: u32,
         now: Millis,
     ) -> Result<u32, Millis> {
-        let per_ms = (limit.per_s() * USED_PART).max(LEAST_PER_S) * part / 1_000.0;
-        let most = (per_ms * SAVED_MS).max(SAVED);
-        let passed = (now - self.filled).0 as f64;
-        self.level = (self.level + passed * per_ms).min(most);
-        self.filled = self.filled.max(now);
-        let is_free = self.given % FOR_ALL == FOR_ALL - 1;
-        let kept = if is_free { 0 } else { self.kept_for(band, now) };
-        // The cast leaves out what is not whole, and what is below 0.
-        let given = ((self.level - kept as f64) as u32).min(wanted);
-        if given > 0 {
-            self.level -= f64::from(given);
-            self.given = self.given.wrapping_add(given);
-            return Ok(given);
+        let per_ms = (limit.per_s() * ISSUED_FRACTION).max(MIN_RATE_PER_S) * share / 1_000.0;
+        let capacity = (per_ms * BURST_MS).max(MIN_BURST);
+        let elapsed_ms = (now - self.refilled_at).0 as f64;
+        self.available = (self.available + elapsed_ms * per_ms).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
+        let is_unreserved = self.issued % UNRESERVED_INTERVAL == UNRESERVED_INTERVAL - 1;
+        let reserved = if is_unreserved {
+            0
+        } else {
+            self.reserved_for_more_urgent(band, now)
+        };
+        // The cast rounds down and turns negative values into 0.
+        let granted = ((self.available - reserved as f64) as u32).min(wanted);
+        if granted > 0 {
+            self.available -= f64::from(granted);
+            self.issued = self.issued.wrapping_add(granted);
+            return Ok(granted);
         }
-        Err(self.turn(per_ms, band, now))
+        Err(self.schedule_retry(per_ms, band, now))
     }
 
-    /// Permits that are kept for askers of more urgent bands, at most one for each band.
-    fn kept_for(&self, band: usize, now: Millis) -> usize {
-        let more_urgent = self.expected[..band].iter();
+    /// Counts the permits held back for askers of more urgent bands, at most one per band.
+    fn reserved_for_more_urgent(&self, band: usize, now: Millis) -> usize {
+        let more_urgent = self.reserved_until[..band].iter();
         more_urgent.filter(|until| now < **until).count()
     }
 
-    /// When one that got nothing is to ask again: turns of a band lie apart, so that not all come for the same permit.
-    fn turn(&mut self, per_ms: f64, band: usize, now: Millis) -> Millis {
-        let missing = (1.0 - self.level).max(0.0) / per_ms;
-        let first = self.filled + Millis(missing.ceil() as u64);
-        let turn = first.max(self.next_turn[band]);
-        self.next_turn[band] =
-            turn.min(now + LONGEST_WAIT) + Millis((1.0 / per_ms / ASKERS) as u64);
-        let turn = turn.clamp(now + SHORTEST_WAIT, now + LONGEST_WAIT);
-        self.expected[band] = self.expected[band].max(turn + LATE);
-        turn
+    /// Returns when an asker that got no permit is to ask again. The retry times of one band are
+    /// spread out so that not all of its askers come for the same permit.
+    fn schedule_retry(&mut self, per_ms: f64, band: usize, now: Millis) -> Millis {
+        let ms_until_permit = (1.0 - self.available).max(0.0) / per_ms;
+        let available_at = self.refilled_at + Millis(ms_until_permit.ceil() as u64);
+        let retry_at = available_at.max(self.next_retry_at[band]);
+        self.next_retry_at[band] =
+            retry_at.min(now + MAX_RETRY_DELAY) + Millis((1.0 / per_ms / ASKERS_PER_PERMIT) as u64);
+        let retry_at = retry_at.clamp(now + MIN_RETRY_DELAY, now + MAX_RETRY_DELAY);
+        self.reserved_until[band] = self.reserved_until[band].max(retry_at + RESERVATION_GRACE);
+        retry_at
     }
 }
