--- a/src/direct/limits/message.rs
+++ b/src/direct/limits/message.rs
@@ -1,5 +1,5 @@
-//! What entries say to each other of limits, in datagrams of their own: there are none where no endpoint names a limit, and
-//! entries that don't know them drop them.
+//! Datagrams about limits between entries. They are separate from the other datagrams: none are
+//! sent while no endpoint announces a limit, and entries that do not know them discard them.
 
 use std::net::SocketAddr;
 
@@ -10,64 +10,66 @@
 use crate::direct::peers::ZoneId;
 use crate::rate::Rate;
 
-/// First byte of such a datagram; no other datagram between entries begins with it.
-const MARK: u8 = 0xfe;
-/// Longest such datagram, in bytes.
-const MOST_BYTES: usize = 512;
-/// Words told in one datagram at most, 17 bytes each: with nine peers in a round 9 KB a second while limits begin.
+/// First byte of such a datagram; no other datagram between entries starts with it.
+const MESSAGE_TAG: u8 = 0xfe;
+/// Largest encoded datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 512;
+/// Most observations in one datagram, of 17 bytes each. With nine peers per gossip round this takes
+/// 9 KB/s while limits begin.
 pub const MAX_OBSERVATIONS: usize = 8;
 
-/// A datagram.
+/// A datagram about limits. The order of variants and fields is part of the encoding.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// An entry asks the coordinator of an endpoint for a permit.
+    /// An entry asks the coordinator of an endpoint for permits.
     Ask(PermitRequest),
-    /// The answer.
+    /// The coordinator's response.
     Answer(PermitResponse),
-    /// What endpoints said to the sender.
+    /// What endpoints announced to the sender, by the endpoints' digests.
     Told(Vec<(u32, WireObservation)>),
 }
 
-/// A question for a permit.
+/// Asks the coordinator of an endpoint for permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// The asker's number of it.
+    /// Identifies this request among those of its sender; the response repeats it.
     pub number: u32,
-    /// Digest of the endpoint's life.
+    /// Digest of the endpoint's identity and incarnation.
     pub endpoint: u32,
-    /// The endpoint's availability zone.
+    /// The endpoint's availability zone; `None` if its name is empty.
     pub zone: Option<ZoneId>,
-    /// Band of the request's urgency.
+    /// Urgency band of the request; 0 is the most urgent.
     pub band: u8,
-    /// Permits that it can use at once.
+    /// Number of permits that the sender can use at once.
     pub wanted: u8,
-    /// What the endpoint said to the asker; `None` where it has only heard of it.
+    /// What the endpoint announced to the sender itself; `None` if the sender only has reports of
+    /// peers.
     pub word: Option<WireObservation>,
 }
 
-/// The answer to one.
+/// The response to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitResponse {
-    /// The asker's number.
+    /// The number of the permit request.
     pub number: u32,
-    /// What it gets.
+    /// What the asker gets.
     pub given: PermitGrant,
-    /// The newest word that the coordinator knows, where that differs from the asker's.
+    /// What the coordinator knows, if its limit differs from the one in the permit request.
     pub word: Option<WireObservation>,
 }
 
-/// What an asker gets.
+/// What an entry that asked for permits gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitGrant {
-    /// Permits to send so many requests now.
+    /// Permits to send this many requests now.
     Permits(u8),
-    /// Nothing; it may ask again after so many ms.
+    /// No permit; it may ask again after this many milliseconds.
     Nothing(u32),
-    /// Nothing; another entry decides.
+    /// No permit; this other entry is the coordinator.
     Elsewhere(SocketAddr),
 }
 
-/// A word with times as ages, since entries' clocks differ.
+/// A [`LimitObservation`] with ages in place of times, since the clocks of entries differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireObservation {
     limit: Option<Rate>,
@@ -76,16 +78,16 @@
 }
 
 impl WireObservation {
-    /// A word as it is told now.
-    pub fn of(word: &LimitObservation, now: Millis) -> Self {
+    /// Converts an observation for sending now.
+    pub fn of(observation: &LimitObservation, now: Millis) -> Self {
         Self {
-            limit: word.limit,
-            sent_ago_ms: (now - word.sent_at).as_u32(),
-            heard_ago_ms: (now - word.received_at).as_u32(),
+            limit: observation.limit,
+            sent_ago_ms: (now - observation.sent_at).as_u32(),
+            heard_ago_ms: (now - observation.received_at).as_u32(),
         }
     }
 
-    /// The word as it is heard now.
+    /// Converts the received ages back into times on the local clock.
     pub fn observation(&self, now: Millis) -> LimitObservation {
         LimitObservation {
             limit: self.limit,
@@ -95,18 +97,18 @@
     }
 }
 
-/// Writes a datagram; `None` when it would be too long.
+/// Encodes a datagram; `None` if it would exceed [`MAX_DATAGRAM_BYTES`] or cannot be encoded.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
-    let mut bytes = vec![MARK];
+    let mut bytes = vec![MESSAGE_TAG];
     let config = bincode::config::standard();
     bytes.extend(bincode::serde::encode_to_vec(message, config).ok()?);
-    (bytes.len() <= MOST_BYTES).then_some(bytes)
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Reads a datagram; `None` when it is none of these.
+/// Decodes a datagram; `None` if it is not one of these or is malformed.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
-    let text = bytes.strip_prefix(&[MARK])?;
-    let config = bincode::config::standard().with_limit::<{ 4 * MOST_BYTES }>();
-    let (message, read) = bincode::serde::decode_from_slice(text, config).ok()?;
-    (read == text.len()).then_some(message)
+    let payload = bytes.strip_prefix(&[MESSAGE_TAG])?;
+    let config = bincode::config::standard().with_limit::<{ 4 * MAX_DATAGRAM_BYTES }>();
+    let (message, read) = bincode::serde::decode_from_slice(payload, config).ok()?;
+    (read == payload.len()).then_some(message)
 }
--- a/src/direct/limits/observation.rs
+++ b/src/direct/limits/observation.rs
@@ -1,24 +1,26 @@
-//! What one answer of an endpoint says of its limit, and which of two answers counts.
+//! What one answer of an endpoint announces of its limit, and which of two answers is in force.
 
 use crate::clock::Millis;
 use crate::rate::Rate;
 
-/// What an answer says of the limit that the endpoint has for all instances together.
+/// The limit that one answer of an endpoint announced, for all instances together. The endpoint
+/// wrote the answer at an unknown time between `sent_at` and `received_at`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitObservation {
-    /// The limit; `None` where the answer names none.
+    /// The limit; `None` if the answer announced none.
     pub limit: Option<Rate>,
-    /// When the request was sent: the endpoint said it later.
+    /// When the request was sent; the endpoint answered after that.
     pub sent_at: Millis,
-    /// When the answer came: the endpoint said it earlier.
+    /// When the answer arrived; the endpoint answered before that.
     pub received_at: Millis,
 }
 
 impl LimitObservation {
-    /// Whether this word counts instead of another one.
+    /// Whether this observation replaces `known` as the one in force.
     ///
-    /// Answers come in another order than endpoints make them. A lower limit counts unless it was certainly said
-    /// before the other; a higher one, or none, only where it was certainly said after it.
+    /// Answers may arrive in another order than endpoints wrote them. A lower limit wins unless it
+    /// was certainly written before the other one; a higher one, or none, wins only if it was
+    /// certainly written after it.
     pub fn supersedes(&self, known: &Self) -> bool {
         match (self.limit, known.limit) {
             (own, other) if own == other => self.received_at >= known.received_at,
