--- a/src/direct/limits/endpoint_limit.rs
+++ b/src/direct/limits/endpoint_limit.rs
@@ -1,4 +1,5 @@
-//! What one entry knows of one endpoint's limit, and what it gives out as its coordinator.
+//! What one entry knows of one endpoint's limit, and the permits that it issues if it is the
+//! endpoint's coordinator.
 
 use super::{LimitObservation, PermitBucket};
 use crate::clock::Millis;
@@ -6,94 +7,103 @@
 use crate::direct::peers::ZoneId;
 use crate::rate::Rate;
 
-/// Time for which a peer's word on a limit counts after it came: one answer that is garbled or forged can't close an endpoint
-/// to the fleet for longer. What an endpoint said to this entry counts until it says otherwise.
-const TOLD_LASTS: Millis = Millis(30_000);
-/// Time after entries have changed from which on a new coordinator gives out permits: the one before it has heard of the
-/// change by then.
-const HANDOVER: Millis = Millis(1_000);
-/// Time between two questions of one entry for an endpoint where the first is not answered yet: requests that wait together
-/// would all ask for the same permit.
-const BETWEEN_ASKS: Millis = Millis(10);
+/// How long a limit reported by a peer stays in force after the report arrived, so that a garbled
+/// or forged message cannot close an endpoint to the fleet for longer. What the endpoint announced
+/// to this entry itself stays in force until it announces something else.
+const PEER_REPORT_TTL: Millis = Millis(30_000);
+/// Delay after a change in the set of serving entries before a new coordinator issues permits. By
+/// then the previous coordinator has heard of the change.
+const HANDOVER_DELAY: Millis = Millis(1_000);
+/// Time for which a second permit request for the same endpoint is held back while the first one is
+/// unanswered: requests that wait together would all ask for the same permit.
+const MIN_REQUEST_INTERVAL: Millis = Millis(10);
 
 /// What is known of one endpoint's limit.
 #[derive(Debug, Default)]
-pub(super) struct Limited {
+pub(super) struct EndpointLimit {
+    /// The endpoint's availability zone, if known.
     pub(super) zone: Option<ZoneId>,
-    /// The word of an answer to this entry.
-    pub(super) own: Option<LimitObservation>,
-    /// When that named another limit than the one before.
-    pub(super) changed: Millis,
-    /// A peer's word, and when it came.
-    pub(super) told: Option<(LimitObservation, Millis)>,
-    /// When a permit may be asked for, by band.
+    /// What the endpoint announced to this entry itself.
+    pub(super) observed: Option<LimitObservation>,
+    /// When the limit in `observed` last changed.
+    pub(super) limit_changed_at: Millis,
+    /// What a peer reported, and when the report arrived.
+    pub(super) reported: Option<(LimitObservation, Millis)>,
+    /// Earliest time at which a permit may be requested, by urgency band.
     pub(super) permit_request_at: [Millis; BANDS],
-    /// When the last question was asked that is not answered yet.
-    pub(super) asking: Option<Millis>,
-    /// Permits that are kept for the next requests, and until when.
-    pub(super) kept: (u32, Millis),
-    /// What this entry gives out, as its coordinator.
-    pub(super) allowance: Option<PermitBucket>,
-    /// When anything was heard of it.
+    /// When the last permit request was sent, if it is still unanswered.
+    pub(super) pending_since: Option<Millis>,
+    /// Number of permits left over for the next requests, and when they expire.
+    pub(super) spare_permits: (u32, Millis),
+    /// The permits that this entry issues, if it is the endpoint's coordinator.
+    pub(super) bucket: Option<PermitBucket>,
+    /// When an observation or permit request for the endpoint last arrived.
     pub(super) updated_at: Millis,
 }
 
-impl Limited {
-    /// The word that counts now.
-    pub(super) fn word(&self, now: Millis) -> Option<LimitObservation> {
-        let lasts = |(word, at): &(LimitObservation, Millis)| {
-            word.limit.is_none() || now < *at + TOLD_LASTS
+impl EndpointLimit {
+    /// The observation that is in force now, if any.
+    pub(super) fn observation(&self, now: Millis) -> Option<LimitObservation> {
+        let is_in_force = |(observation, at): &(LimitObservation, Millis)| {
+            observation.limit.is_none() || now < *at + PEER_REPORT_TTL
         };
-        let told = self.told.filter(lasts);
-        match (self.own, told) {
-            (Some(own), Some((told, _))) if told.supersedes(&own) => Some(told),
-            (Some(own), _) => Some(own),
-            (None, told) => told.map(|(word, _)| word),
+        let reported = self.reported.filter(is_in_force);
+        match (self.observed, reported) {
+            (Some(observed), Some((reported, _))) if reported.supersedes(&observed) => {
+                Some(reported)
+            }
+            (Some(observed), _) => Some(observed),
+            (None, reported) => reported.map(|(observation, _)| observation),
         }
     }
 
+    /// The limit that is in force now, if any.
     pub(super) fn limit(&self, now: Millis) -> Option<Rate> {
-        self.word(now)?.limit
+        self.observation(now)?.limit
     }
 
-    /// When a permit for a request of a band may be asked for.
+    /// Earliest time at which a permit for a request of this band may be requested.
     pub(super) fn permit_request_at(&self, band: usize) -> Millis {
-        let asked = self.asking.map_or(Millis(0), |at| at + BETWEEN_ASKS);
-        self.permit_request_at[band].max(asked)
+        let after_pending = self
+            .pending_since
+            .map_or(Millis(0), |at| at + MIN_REQUEST_INTERVAL);
+        self.permit_request_at[band].max(after_pending)
     }
 
-    /// Nothing is asked before a time, for requests of a band and of less urgent ones.
-    pub(super) fn wait(&mut self, band: usize, until: Millis) {
+    /// Postpones permit requests for this band and less urgent ones to `until` at the earliest.
+    pub(super) fn postpone(&mut self, band: usize, until: Millis) {
         for at in &mut self.permit_request_at[band..] {
             *at = until.max(*at);
         }
     }
 
-    /// Uses a permit that is kept.
-    pub(super) fn use_kept(&mut self, now: Millis) -> bool {
-        let (left, until) = self.kept;
-        let is_kept = left > 0 && now < until;
-        if is_kept {
-            self.kept.0 -= 1;
+    /// Uses a left-over permit; false if there is none that is still valid.
+    pub(super) fn use_spare_permit(&mut self, now: Millis) -> bool {
+        let (left, until) = self.spare_permits;
+        let is_available = left > 0 && now < until;
+        if is_available {
+            self.spare_permits.0 -= 1;
         }
-        is_kept
+        is_available
     }
 
-    /// Takes permits as the coordinator.
+    /// Takes permits from this entry's own bucket, as the coordinator. `is_settled` tells whether
+    /// the set of serving entries has been stable; if not, a new bucket opens after
+    /// [`HANDOVER_DELAY`]. Returns the same as [`PermitBucket::take`].
     pub(super) fn take(
         &mut self,
-        part: f64,
+        share: f64,
         is_settled: bool,
         band: usize,
         wanted: u32,
         now: Millis,
     ) -> Result<u32, Millis> {
         let limit = self.limit(now).unwrap_or_default();
-        let empty_until = || match is_settled {
+        let new_bucket = || match is_settled {
             true => PermitBucket::with_one_permit(now),
-            false => PermitBucket::empty_until(now + HANDOVER),
+            false => PermitBucket::empty_until(now + HANDOVER_DELAY),
         };
-        let allowance = self.allowance.get_or_insert_with(empty_until);
-        allowance.take(limit, part, band, wanted, now)
+        let bucket = self.bucket.get_or_insert_with(new_bucket);
+        bucket.take(limit, share, band, wanted, now)
     }
 }
