--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name for all instances together: taken, and kept by permits of their coordinators.
+//! Limits that endpoints announce for all instances together: recorded from their answers, and
+//! enforced by requesting a permit from the endpoint's coordinator before each request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,72 +17,82 @@
 use crate::direct::peers::{Coordinator, ZoneId};
 use crate::rate::Rate;
 
-/// Time in which a peer answers a question; longer than a datagram takes both ways between regions.
-const ANSWER_TIME: Millis = Millis(150);
-/// Peers that are asked for one permit: the one that this entry takes for the coordinator, and the one that it names.
-const MOST_ASKED: usize = 2;
+/// How long to wait for a peer's response to a permit request; longer than a datagram takes both
+/// ways between regions.
+const RESPONSE_TIMEOUT: Millis = Millis(150);
+/// Most peers that are asked for one permit: the one that this entry takes for the coordinator, and
+/// the one that this peer names instead.
+const MAX_PEERS_ASKED: usize = 2;
 
-/// Questions for permits that wait for their answers, by number.
+/// Permit requests to peers that wait for their responses, by number. Each holds the peer that was
+/// asked and the channel to the task that waits.
 #[derive(Debug, Default)]
-pub struct Questions {
-    waiting: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitResponse>)>>,
-    next: Cell<u32>,
+pub struct PendingRequests {
+    by_number: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitResponse>)>>,
+    next_number: Cell<u32>,
 }
 
-/// One question, until it is answered or given up.
-struct Question<'a> {
-    questions: &'a Questions,
+/// One permit request to a peer, registered until it is dropped.
+struct PendingRequest<'a> {
+    pending: &'a PendingRequests,
     number: u32,
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.questions.waiting.borrow_mut().remove(&self.number);
+        self.pending.by_number.borrow_mut().remove(&self.number);
     }
 }
 
-impl Questions {
-    /// A question to a peer, and where its answer comes.
-    fn begin(&self, peer: SocketAddr) -> (Question<'_>, oneshot::Receiver<PermitResponse>) {
-        let number = self.next.get();
-        self.next.set(number.wrapping_add(1));
+impl PendingRequests {
+    /// Registers a permit request to a peer; its response arrives on the returned channel.
+    fn register(
+        &self,
+        peer: SocketAddr,
+    ) -> (PendingRequest<'_>, oneshot::Receiver<PermitResponse>) {
+        let number = self.next_number.get();
+        self.next_number.set(number.wrapping_add(1));
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, (peer, tx));
-        let questions = self;
-        (Question { questions, number }, rx)
+        self.by_number.borrow_mut().insert(number, (peer, tx));
+        let pending = self;
+        (PendingRequest { pending, number }, rx)
     }
 
-    /// A peer answered.
-    fn answered(&self, from: SocketAddr, answer: PermitResponse) {
-        let mut waiting = self.waiting.borrow_mut();
-        let is_asked = waiting
-            .get(&answer.number)
+    /// Passes a response on to the task that waits for it. A response from another peer than the one
+    /// that was asked is dropped together with the pending request, which then counts as unanswered.
+    fn complete(&self, from: SocketAddr, response: PermitResponse) {
+        let mut pending = self.by_number.borrow_mut();
+        let is_asked = pending
+            .get(&response.number)
             .is_some_and(|(peer, _)| *peer == from);
-        let asked = waiting.remove(&answer.number).filter(|_| is_asked);
+        let asked = pending.remove(&response.number).filter(|_| is_asked);
         if let Some((_, tx)) = asked {
-            // Whoever asked may have given up meanwhile.
-            let _ = tx.send(answer);
+            // The task may have stopped waiting meanwhile.
+            let _ = tx.send(response);
         }
     }
 }
 
-/// A request that waits for a permit.
+/// Counts one request as waiting for a permit until dropped.
 #[derive(Debug)]
-pub struct Waiting(Rc<Entry>);
+pub struct WaitingGuard(Rc<Entry>);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
+        self.0
+            .waiting_for_permit
+            .set(self.0.waiting_for_permit.get() - 1);
     }
 }
 
 impl Entry {
-    /// An endpoint answered a request that was sent at a time; what it names counts.
+    /// Records the limit that an endpoint announced in its answer to a request, and logs it if the
+    /// limit in force changes. `request` is the caller's id of that request.
     pub fn record_announced_limit(
         &self,
         key: EndpointKey,
-        named: AnnouncedLimit,
-        sent: Millis,
+        announced: AnnouncedLimit,
+        sent_at: Millis,
         request: &[u8],
     ) {
         let Some(target) = self.target(key) else {
@@ -91,14 +102,14 @@
         let changed = self
             .limits
             .borrow_mut()
-            .record_answer(target, named, sent, now);
+            .record_answer(target, announced, sent_at, now);
         if let Some(limit) = changed {
             let request = String::from_utf8_lossy(request).into_owned();
-            self.log_limited(target, limit, Some(request), None);
+            self.log_limit_change(target, limit, Some(request), None);
         }
     }
 
-    /// The limit of an endpoint; `None` where it has none.
+    /// The limit of an endpoint; `None` if it has none.
     pub fn limit(&self, key: EndpointKey) -> Option<Rate> {
         let limits = self.limits.borrow();
         if limits.is_empty() {
@@ -108,19 +119,22 @@
         limits.limit(endpoint, self.clock.now())
     }
 
-    /// When a permit for a request of a band may be asked for at a limited endpoint; `None` where it has no limit.
+    /// Earliest time at which a permit for a request of this band may be requested; `None` if the
+    /// endpoint, given by its digest, has no limit.
     pub fn permit_request_at(&self, endpoint: u32, band: usize) -> Option<Millis> {
         let now = self.clock.now();
         self.limits.borrow().permit_request_at(endpoint, band, now)
     }
 
     /// Counts a request as waiting for a permit until the guard is dropped.
-    pub fn count_waiting_for_permit(self: &Rc<Self>) -> Waiting {
-        self.waiting.set(self.waiting.get() + 1);
-        Waiting(Rc::clone(self))
+    pub fn count_waiting_for_permit(self: &Rc<Self>) -> WaitingGuard {
+        self.waiting_for_permit
+            .set(self.waiting_for_permit.get() + 1);
+        WaitingGuard(Rc::clone(self))
     }
 
-    /// A permit to send a request of a band to an endpoint now, where that needs one.
+    /// Requests a permit to send a request of this band to an endpoint now, from this entry or the
+    /// peer that coordinates the endpoint. Endpoints without a limit need none.
     pub async fn request_permit(&self, key: EndpointKey, band: usize) -> PermitDecision {
         let Some(target) = self.target(key) else {
             return PermitDecision::Unlimited;
@@ -128,69 +142,86 @@
         if self.limits.borrow().is_empty() {
             return PermitDecision::Unlimited;
         }
-        let by = self.whom_to_ask(target);
+        let coordinator = self.reachable_coordinator(target);
         let now = self.clock.now();
-        let mut step = self.limits.borrow_mut().decide(target, by, band, now);
-        for _ in 0..MOST_ASKED {
-            let PermitDecision::Ask(peer) = step else {
+        let mut decision = self
+            .limits
+            .borrow_mut()
+            .decide(target, coordinator, band, now);
+        for _ in 0..MAX_PEERS_ASKED {
+            let PermitDecision::Ask(peer) = decision else {
                 break;
             };
-            step = self.ask(peer, target, band).await;
+            decision = self.request_from_peer(peer, target, band).await;
         }
-        self.metrics.permit(&step);
-        step
+        self.metrics.permit(&decision);
+        decision
     }
 
-    /// Asks a peer for a permit.
-    async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> PermitDecision {
+    /// Asks a peer for a permit and waits for the response, at most [`RESPONSE_TIMEOUT`].
+    async fn request_from_peer(
+        &self,
+        peer: SocketAddr,
+        target: Target,
+        band: usize,
+    ) -> PermitDecision {
         let now = self.clock.now();
-        let (question, rx) = self.questions.begin(peer);
-        let ask = self.limits.borrow().permit_request(
+        let (pending, rx) = self.permit_requests.register(peer);
+        let request = self.limits.borrow().permit_request(
             target,
-            question.number,
+            pending.number,
             band,
-            self.waiting.get(),
+            self.waiting_for_permit.get(),
             now,
         );
-        self.send_limit_message(peer, &Message::Ask(ask));
-        let answer = self.clock.timeout_at(now + ANSWER_TIME, rx).await;
-        let answer = answer.and_then(Result::ok);
-        drop(question);
+        self.send_limit_message(peer, &Message::Ask(request));
+        let response = self.clock.timeout_at(now + RESPONSE_TIMEOUT, rx).await;
+        let response = response.and_then(Result::ok);
+        drop(pending);
         let now = self.clock.now();
         let mut limits = self.limits.borrow_mut();
-        limits.handle_response(target, peer, answer.as_ref(), band, now)
+        limits.handle_response(target, peer, response.as_ref(), band, now)
     }
 
-    /// Takes a datagram on limits.
+    /// Handles a datagram about limits.
     pub fn handle_limit_message(&self, from: SocketAddr, message: Message) {
         match message {
-            Message::Ask(ask) => self.answer_ask(from, &ask),
-            Message::Answer(answer) => self.questions.answered(from, answer),
-            Message::Told(told) => {
+            Message::Ask(request) => self.handle_permit_request(from, &request),
+            Message::Answer(response) => self.permit_requests.complete(from, response),
+            Message::Told(reports) => {
                 let now = self.clock.now();
-                for (endpoint, word) in told {
-                    self.limit_told(endpoint, word.observation(now), from);
+                for (endpoint, observation) in reports {
+                    self.apply_reported_limit(endpoint, observation.observation(now), from);
                 }
             }
         }
     }
 
-    /// Answers a peer that asks for a permit.
-    fn answer_ask(&self, from: SocketAddr, ask: &PermitRequest) {
+    /// Answers a peer's permit request.
+    fn handle_permit_request(&self, from: SocketAddr, request: &PermitRequest) {
         let target = Target {
-            endpoint: ask.endpoint,
-            zone: ask.zone,
+            endpoint: request.endpoint,
+            zone: request.zone,
         };
         let now = self.clock.now();
-        let by = self.coordinator(target);
-        let answer = self.limits.borrow_mut().handle_request(ask, by, now);
-        self.send_limit_message(from, &Message::Answer(answer));
+        let coordinator = self.coordinator(target);
+        let response = self
+            .limits
+            .borrow_mut()
+            .handle_request(request, coordinator, now);
+        self.send_limit_message(from, &Message::Answer(response));
     }
 
-    /// A peer told what an endpoint said to it.
-    fn limit_told(&self, endpoint: u32, word: limits::LimitObservation, from: SocketAddr) {
+    /// Applies a limit that a peer reported for an endpoint, and logs it if the limit in force
+    /// changes.
+    fn apply_reported_limit(
+        &self,
+        endpoint: u32,
+        observation: limits::LimitObservation,
+        from: SocketAddr,
+    ) {
         let key = self.directory().by_digest(endpoint);
-        // One that is not listed here is not sent to either.
+        // No requests are sent to an endpoint that is not listed here.
         let Some(target) = key.and_then(|key| self.target(key)) else {
             return;
         };
@@ -198,13 +229,14 @@
         let changed = self
             .limits
             .borrow_mut()
-            .record_peer_observation(target, word, now);
+            .record_peer_observation(target, observation, now);
         if let Some(limit) = changed {
-            self.log_limited(target, limit, None, Some(from));
+            self.log_limit_change(target, limit, None, Some(from));
         }
     }
 
-    /// A round: forgets what is over, and gives out no more where another entry decides.
+    /// Updates the set of serving peers once per gossip round, forgets expired limits, and stops
+    /// issuing permits for endpoints that another entry coordinates.
     pub fn update_limit_coordination(&self) {
         let now = self.clock.now();
         let is_leaving = self.process_state() != super::ProcessState::Serving;
@@ -215,23 +247,25 @@
         self.limits.borrow_mut().round(is_own, now);
     }
 
-    /// Sends a datagram on limits. One that is lost is made up for: the question is asked again, and words are told again.
+    /// Sends a datagram about limits. A lost one needs no resending: permits are requested again
+    /// and limits reported again.
     pub fn send_limit_message(&self, to: SocketAddr, message: &Message) {
-        let (Some(link), Some(bytes)) = (self.link.get(), limits::encode(message)) else {
+        let (Some(socket), Some(bytes)) = (self.peer_socket.get(), limits::encode(message)) else {
             return;
         };
-        if let Err(err) = link.try_send_to(&bytes, to) {
-            tracing::debug!(%err, %to, "datagram on limits not sent");
+        if let Err(err) = socket.try_send_to(&bytes, to) {
+            tracing::debug!(%err, %to, "limit datagram not sent");
         }
     }
 
-    /// The entry that decides for an endpoint.
+    /// The coordinator of an endpoint.
     fn coordinator(&self, target: Target) -> Coordinator {
         self.pick_coordinator(target, |_| false)
     }
 
-    /// The entry to ask for a permit, or this one: peers that did not answer lately are passed over.
-    fn whom_to_ask(&self, target: Target) -> Coordinator {
+    /// The coordinator to ask for a permit, which may be this entry. Peers that did not respond
+    /// lately are passed over.
+    fn reachable_coordinator(&self, target: Target) -> Coordinator {
         let now = self.clock.now();
         let limits = self.limits.borrow();
         self.pick_coordinator(target, |peer| limits.is_unresponsive(peer, now))
@@ -256,7 +290,7 @@
         })
     }
 
-    fn log_limited(
+    fn log_limit_change(
         &self,
         target: Target,
         limit: Option<Rate>,
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{watch, Notify};
 
 pub use self::endpoint_states::{EndpointState, EndpointStates, RunGuard};
-use self::limited::Questions;
+use self::limited::PendingRequests;
 use self::store::LargeAnswer;
 use crate::clock::{Clock, Millis};
 use crate::direct::budget::RetryWindow;
@@ -82,11 +82,11 @@
     /// Limits that endpoints named for all instances together.
     pub limits: RefCell<Limits>,
     /// Questions to peers for permits that wait for their answers.
-    questions: Questions,
+    permit_requests: PendingRequests,
     /// Requests that wait for a permit.
-    waiting: Cell<u32>,
+    waiting_for_permit: Cell<u32>,
     /// Where datagrams to peers leave; set once the process listens.
-    pub link: OnceCell<Rc<UdpSocket>>,
+    pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Requests that began and ended lately, by pool.
     turnovers: RefCell<HashMap<String, Turnover>>,
     /// Retry budgets by pool.
@@ -162,9 +162,9 @@
             placements: RefCell::default(),
             zone_placements: RefCell::default(),
             limits: RefCell::default(),
-            questions: Questions::default(),
-            waiting: Cell::default(),
-            link: OnceCell::new(),
+            permit_requests: PendingRequests::default(),
+            waiting_for_permit: Cell::default(),
+            peer_socket: OnceCell::new(),
             turnovers: RefCell::default(),
             retries: RefCell::default(),
             quarantine: RefCell::new(Quarantine::started_at(clock.now())),
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -95,7 +95,7 @@
 fn spawn_sync_tasks(supervisor: &mut Supervisor, entry: &Rc<Entry>, link: UdpSocket) {
     let link = Rc::new(link);
     // This is the only place that sets the link, so it can't be set already.
-    let _ = entry.link.set(Rc::clone(&link));
+    let _ = entry.peer_socket.set(Rc::clone(&link));
     let cx = Rc::clone(entry);
     supervisor.child("follow", move || sync::follow(Rc::clone(&cx)));
     let cx = Rc::clone(entry);
