--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -1,4 +1,4 @@
-//! What endpoints announce of themselves to this entry: taken, logged and counted.
+//! What endpoints announce of themselves to this entry: recorded, logged and counted.
 
 use super::Entry;
 use crate::announced::{Announcement, DeclineReason};
@@ -7,7 +7,8 @@
 use crate::direct::directory::EndpointKey;
 
 impl Entry {
-    /// An endpoint announced something of itself in an answer to a request.
+    /// Records what an endpoint announced of itself in its answer to a request: that it leaves, or
+    /// that it wants no requests for a time. `request` is the caller's id of that request.
     pub fn record_announcement(
         &self,
         key: EndpointKey,
@@ -58,7 +59,7 @@
         self.log.state_change(announced);
     }
 
-    /// Why an endpoint wants no requests now, by its own announcements.
+    /// Why an endpoint wants no requests now, by its own announcements; `None` if it wants them.
     pub fn decline_reason(&self, key: EndpointKey) -> Option<DeclineReason> {
         let now = self.clock.now();
         self.directory().get(key)?.announced.decline_reason(now)
