--- a/src/direct/entry/catalog_and_list.rs
+++ b/src/direct/entry/catalog_and_list.rs
@@ -1,4 +1,5 @@
-//! What an entry believes of the platform: the configuration, the endpoints, how fresh both are.
+//! What an entry knows of the platform: the configuration, the list of endpoints, and how fresh
+//! both are.
 
 use std::cell::Ref;
 use std::rc::Rc;
@@ -16,72 +17,75 @@
 use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
 use crate::direct::versions::{self, EncodedPatch, VersionUpdate};
 
-/// Keys of unreadable entries that are remembered, so that each is logged once.
-const MOST_UNREADABLE: usize = 1_000;
+/// Most keys of unreadable store entries that are remembered, so that each is logged once.
+const MAX_UNREADABLE_KEYS: usize = 1_000;
 
 impl Entry {
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first one.
     pub fn catalog(&self) -> Option<Rc<Catalog>> {
         self.catalog.borrow().clone()
     }
 
-    /// What makes it of an older version, for a peer; `None` when there is none.
+    /// The encoded update from version `version` to the configuration in force, for a peer; `None`
+    /// if there is none.
     pub fn catalog_since(&self, version: u64) -> Option<Vec<u8>> {
         let catalog = self.catalog()?;
-        self.versions.borrow().since(version, &catalog)
+        self.version_log.borrow().since(version, &catalog)
     }
 
-    /// Its version; 0 before the first one.
+    /// Version of the configuration in force; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.catalog.borrow().as_ref().map_or(0, |c| c.version)
     }
 
-    /// When it was last proven to be the newest.
+    /// When the configuration in force was last proven to be the newest.
     pub fn freshness(&self) -> Freshness {
         self.freshness.get()
     }
 
-    /// Age of that proof.
+    /// Age of that proof; `None` if there has been none.
     pub fn proof_age(&self) -> Option<Millis> {
         self.freshness.get().age(self.clock.now())
     }
 
-    /// Endpoints as listed.
+    /// The listed endpoints.
     pub fn directory(&self) -> Ref<'_, Directory> {
         self.directory.borrow()
     }
 
-    /// Revision of the store up to which the list of endpoints is complete here.
+    /// Store revision up to which the list of endpoints is complete here.
     pub fn list_revision(&self) -> Revision {
         self.list_revision.get()
     }
 
-    /// Revision of the store up to which the configuration in force is known to be the newest.
+    /// Store revision up to which the configuration in force is known to be the newest.
     pub fn catalog_revision(&self) -> Revision {
         self.catalog_revision.get()
     }
 
-    /// Revision of the store up to which everything has been applied.
+    /// Store revision up to which both the list and the configuration have been applied.
     pub fn applied(&self) -> Revision {
         self.list_revision.get().min(self.catalog_revision.get())
     }
 
-    /// Takes a configuration if it is newer than the one in force; nothing ever goes back.
+    /// Puts a configuration in force if it is newer than the current one; versions never go back.
+    /// `from` names its source in the log.
     ///
-    /// A proof stays good: what was the newest at some time had no successor then, and so had no
-    /// later version.
+    /// Proofs of freshness stay valid: what was the newest version at some time had no successor
+    /// then, and so no later version either.
     pub fn apply_catalog(&self, catalog: Box<Catalog>, from: &str) {
         if catalog.version <= self.version() {
             return;
         }
-        let patched = self.catalog().and_then(|old| patched(&old, &catalog));
+        let patched = self.catalog().and_then(|old| patch_catalog(&old, &catalog));
         match patched {
             Some((catalog, written)) => self.put_in_force(catalog, vec![written], from),
             None => self.put_in_force(*catalog, Vec::new(), from),
         }
     }
 
-    /// Takes what a peer passed on, as far as it is newer; false when it does not lead on from here.
+    /// Applies an update from a peer, as far as it is newer. Returns false if its patches do not
+    /// apply to the version in force.
     pub fn apply_newer_catalog(&self, newer: VersionUpdate, from: &str) -> bool {
         let (patches, written) = match newer {
             VersionUpdate::Full(catalog) => {
@@ -93,7 +97,7 @@
         let Some(own) = self.catalog() else {
             return false;
         };
-        // What came into force here meanwhile is left out.
+        // Patches up to the version in force are skipped: it may have advanced meanwhile.
         let Some(first) = patches.iter().position(|p| p.base == own.version) else {
             return false;
         };
@@ -111,27 +115,30 @@
         true
     }
 
-    /// Puts a newer version in force; `patches` lead to it from the one before.
+    /// Puts a newer version in force. `patches` lead to it from the version before and are kept for
+    /// peers; empty if there are none.
     fn put_in_force(&self, catalog: Catalog, patches: Vec<EncodedPatch>, from: &str) {
         self.log.state_change(Decision::CatalogInForce {
             version: catalog.version,
             before: self.version(),
             from: from.into(),
         });
-        self.versions.borrow_mut().advance(patches);
-        self.missing_since.set(None);
+        self.version_log.borrow_mut().advance(patches);
+        self.newer_catalog_since.set(None);
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
     }
 
-    /// Takes a whole listing that was begun at a revision, and keeps for peers what it changes.
+    /// Applies a whole listing that was begun at revision `begun`, and records the changes against
+    /// the current list for peers.
     ///
-    /// When the store has dropped its history, its watchers list anew; their peers would have to as well
-    /// if the changes that they keep began after that.
+    /// When the store has dropped its history, its watchers list again. Without these records their
+    /// peers would have to do so as well.
     pub fn apply_listing(&self, listed: impl Into<Listing>, begun: Revision) {
         let mut listed: Listing = listed.into();
         let now = self.clock.now();
         let before = self.list_revision.get();
-        // Changes that came while the listing was read may have removed what it still holds.
+        // Changes that arrived while the listing was read may have removed endpoints that it still
+        // holds.
         let directory = self.directory.borrow();
         let is_known = |id: &str| directory.key(id).is_some();
         let endpoints = &mut listed.endpoints;
@@ -139,20 +146,20 @@
         drop(directory);
         if begun > before {
             let changes = self.directory.borrow().changes_to(&listed, before, begun);
-            let mut log = self.changes.borrow_mut();
+            let mut log = self.change_log.borrow_mut();
             log.append_listing(before, begun, &changes);
         }
         let gone = self.directory.borrow_mut().replace(listed, begun, now);
         self.forget(&gone);
-        self.listed.set(true);
+        self.has_list.set(true);
         self.list_advanced(before.max(begun));
         self.add_missing_endpoint_states();
     }
 
-    /// Takes all changes of the list up to a revision, and keeps them for peers.
+    /// Applies all changes of the list up to a revision, and records them for peers.
     ///
-    /// Those that the list holds already are left out: an older entry of an endpoint that has left
-    /// meanwhile would bring it back.
+    /// Changes that the list already includes are skipped: an older entry of an endpoint that has
+    /// left meanwhile would bring it back.
     pub fn apply_changes(&self, changes: Vec<Change>, up_to: Revision) {
         self.apply_peer_changes(ChangeBatch {
             changes,
@@ -161,8 +168,9 @@
         });
     }
 
-    /// Takes the changes that a peer passed on. The list may have got further since the peer was asked, into a span that
-    /// the peer knows from a listing: they do not lead on from here then, and the store is asked.
+    /// Applies the changes received from a peer. If the list has advanced since the peer was asked,
+    /// into a span that the peer knows only from a listing, the changes do not apply to it; then
+    /// the store is asked.
     pub fn apply_peer_changes(&self, passed: ChangeBatch) {
         let before = self.list_revision.get();
         let ChangeBatch { up_to, .. } = passed;
@@ -175,17 +183,18 @@
         }
         let mut changes = passed.changes;
         changes.retain(|change| change.revision() > before);
-        let mut log = self.changes.borrow_mut();
+        let mut log = self.change_log.borrow_mut();
         log.append(before, up_to, &changes);
         log.append_spans(&passed.spans);
         drop(log);
         for change in changes {
-            self.take_change(change);
+            self.apply_change(change);
         }
         self.list_advanced(up_to);
     }
 
-    /// Logs where the list of endpoints comes from, if that took it beyond a revision.
+    /// Logs the source of the list of endpoints, if the list has advanced beyond the revision
+    /// `after`.
     pub fn log_list_advanced(&self, after: Revision, from: &str) {
         let up_to = self.list_revision.get();
         if up_to > after {
@@ -195,13 +204,13 @@
         }
     }
 
-    /// Takes one change of the list.
-    fn take_change(&self, change: Change) {
+    /// Applies and logs one change of the list.
+    fn apply_change(&self, change: Change) {
         let (endpoint, revision, said) = match &change {
             Change::Put(listed) if listed.draining => (&listed.id, listed.revision, "draining"),
             Change::Put(listed) => (&listed.id, listed.revision, "ready"),
             Change::Removed { id, revision } => (id, *revision, "removed"),
-            Change::Cordoned(_) | Change::Uncordoned(_) => return self.take_cordon(change),
+            Change::Cordoned(_) | Change::Uncordoned(_) => return self.apply_cordon(change),
         };
         let mut standing = said.to_owned();
         let endpoint = endpoint.clone();
@@ -221,8 +230,8 @@
         });
     }
 
-    /// Takes a change of the cordons.
-    fn take_cordon(&self, change: Change) {
+    /// Applies a change of a zone's cordon, and logs it if the zone becomes cordoned or uncordoned.
+    fn apply_cordon(&self, change: Change) {
         let (Change::Cordoned(cordon) | Change::Uncordoned(cordon)) = &change else {
             return;
         };
@@ -242,21 +251,21 @@
         }
     }
 
-    /// The store had these cordons at a revision.
+    /// Applies the complete set of cordons that the store had at a revision.
     pub fn apply_cordons(&self, all: Vec<Cordon>, revision: Revision) {
         let directory = self.directory.borrow();
         let changes = directory.cordon_changes_to(&all, 0, revision);
         drop(directory);
         for change in changes {
-            self.take_cordon(change);
+            self.apply_cordon(change);
         }
     }
 
-    /// An entry of the store can't be read: it is counted, and logged when it is seen first.
+    /// Counts a store entry that cannot be read, and logs it the first time.
     pub fn report_unreadable(&self, found: Unreadable) {
         self.metrics.unreadable();
         let mut known = self.unreadable.borrow_mut();
-        if known.len() < MOST_UNREADABLE && known.insert(found.key.clone()) {
+        if known.len() < MAX_UNREADABLE_KEYS && known.insert(found.key.clone()) {
             self.log.state_change(Decision::EntryUnreadable {
                 key: found.key,
                 why: found.why,
@@ -264,31 +273,34 @@
         }
     }
 
-    /// The configuration in force is the newest up to a revision.
+    /// Records that the configuration in force is the newest up to a revision. A proof of freshness
+    /// that waited for this takes effect.
     pub fn confirm_catalog_at(&self, revision: Revision) {
         self.catalog_revision
             .set(self.catalog_revision.get().max(revision));
-        if let Some((asked, wanted)) = self.unproven.get() {
+        if let Some((asked, wanted)) = self.pending_proof.get() {
             if wanted <= self.catalog_revision.get() {
-                self.unproven.set(None);
+                self.pending_proof.set(None);
                 self.prove(asked);
             }
         }
     }
 
-    /// The store was at `revision` when asked at `asked`; false while the configuration in force is
-    /// not known to be the newest up to there.
+    /// Records that the store, asked at `asked`, was at `revision`. This proves the configuration
+    /// fresh if it is known to be the newest up to there; otherwise returns false, and the proof
+    /// waits for [`Self::confirm_catalog_at`].
     pub fn prove_up_to(&self, asked: Millis, revision: Revision) -> bool {
         let is_known = self.catalog_revision.get() >= revision;
         if is_known {
             self.prove(asked);
         } else {
-            self.unproven.set(Some((asked, revision)));
+            self.pending_proof.set(Some((asked, revision)));
         }
         is_known
     }
 
-    /// A peer that was asked at `asked` proves the version in force here.
+    /// Records that a peer, asked at `asked`, had a proof of this age for the version in force
+    /// here.
     pub fn prove_by_peer(&self, asked: Millis, age: Millis) {
         let mut freshness = self.freshness.get();
         freshness.prove_by_peer(asked, age);
@@ -301,7 +313,7 @@
         self.freshness.set(freshness);
     }
 
-    /// Whether the configuration allows a request now.
+    /// Whether the configuration allows a request now: its route and team, or why it is denied.
     pub fn allow(&self, ask: &ParsedRequest) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
@@ -313,20 +325,21 @@
         resolve(knowledge, ask, self.clock.now())
     }
 
-    /// Removes endpoints whose grace after a lapse is over and idle connections that are too old.
+    /// Removes endpoints whose grace period after a lapse has ended, idle connections that are too
+    /// old and outdated suspicions, and counts the fleet.
     pub fn expire(&self) {
         let now = self.clock.now();
         let gone = self.directory.borrow_mut().expire(now);
         self.forget(&gone);
         self.close_idle(now);
-        self.see_fleet();
+        self.update_fleet_size();
         self.quarantine.borrow_mut().expire(now);
     }
 }
 
-/// The new version made of the old one, so that they share what did not change, and the patch for
-/// peers; `None` where there can't be one.
-fn patched(old: &Catalog, new: &Catalog) -> Option<(Catalog, EncodedPatch)> {
+/// Builds the new version by patching the old one, so that both share what did not change, and
+/// encodes the patch for peers; `None` if there is no such patch.
+fn patch_catalog(old: &Catalog, new: &Catalog) -> Option<(Catalog, EncodedPatch)> {
     let patch = Patch::between(old, new)?;
     let written = EncodedPatch {
         base: patch.base,
--- a/src/direct/entry/endpoint_states.rs
+++ b/src/direct/entry/endpoint_states.rs
@@ -1,4 +1,5 @@
-//! What an entry keeps for each endpoint: its load, its record and idle connections to it.
+//! What an entry keeps for each listed endpoint: its load, its health record and idle connections
+//! to it.
 
 use std::cell::{Cell, Ref, RefMut};
 use std::rc::Rc;
@@ -18,93 +19,95 @@
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::IncarnationDigest;
 
-/// Idle connections kept to one endpoint.
-const MOST_IDLE: usize = 24;
-/// Time after which an idle connection is closed where the endpoint tells none: endpoints may drop
-/// idle connections without a word.
-const IDLE_TIME: Millis = Millis(4_000);
-/// Part of the endpoint's own idle time that is used, so that both sides don't cross.
-const IDLE_PART: f64 = 0.6;
+/// Most idle connections that are kept to one endpoint.
+const MAX_IDLE: usize = 24;
+/// Time after which an idle connection is closed, at the latest: endpoints may drop idle
+/// connections without notice.
+const MAX_IDLE_TIME: Millis = Millis(4_000);
+/// Fraction of the idle timeout announced by the endpoint that is used, so that a request does not
+/// cross with the endpoint's close.
+const IDLE_FRACTION: f64 = 0.6;
 
 /// What is known of one endpoint beyond its entry in the directory.
 #[derive(Debug, Default)]
 pub struct EndpointState {
-    /// Its identity.
+    /// Its identity in the platform's list.
     pub(super) id: String,
-    /// Pool that it serves.
+    /// The pool that it serves.
     pool: String,
-    /// Digest of this life of it.
-    life: IncarnationDigest,
-    /// Its load.
+    /// Digest of its identity and incarnation.
+    incarnation: IncarnationDigest,
+    /// Its load, from this entry's requests and from reports of peers and the endpoint.
     pub load: Load,
-    /// Its record.
+    /// Its health record.
     pub record: Record,
-    /// When anything last came from it.
+    /// When anything last arrived from it.
     pub last_contact_at: Millis,
-    /// Requests that were sent to it lately.
+    /// Requests that this entry sent to it recently.
     pub recent_sends: RecentSends,
-    /// Runs that it did not finish.
-    lost: LostRuns,
-    /// Whether it is being found out whether it has ended.
+    /// Recent runs that it did not finish.
+    lost_runs: LostRuns,
+    /// Whether a check of whether it still listens is under way.
     is_end_check_running: bool,
-    /// Connections to it that are not in use, the newest last.
-    idle: Vec<Connection>,
+    /// Connections to it that are not in use, the most recently used last.
+    idle_connections: Vec<Connection>,
 }
 
-/// The accounts of all listed endpoints.
+/// The states of all listed endpoints.
 pub type EndpointStates = SecondaryMap<EndpointKey, EndpointState>;
 
 impl EndpointState {
-    /// Something came from the endpoint.
+    /// Records that something arrived from the endpoint, so it is alive.
     pub fn record_contact(&mut self, now: Millis) {
         self.last_contact_at = now;
-        self.lost.heard(now);
+        self.lost_runs.heard(now);
     }
 
-    /// It took a connection that was begun at a time.
+    /// Records that the endpoint accepted a connection whose opening began at `begun`.
     pub(super) fn connected(&mut self, begun: Millis) {
-        self.lost.connected(begun);
+        self.lost_runs.connected(begun);
     }
 
-    /// Whether it is being found out whether the endpoint has ended.
+    /// Whether a check of whether the endpoint still listens is under way.
     pub fn is_end_check_running(&self) -> bool {
         self.is_end_check_running
     }
 
-    /// It is to be found out whether the endpoint has ended; true where that goes on by now.
-    pub(super) fn begin_check(&mut self) -> bool {
+    /// Marks such a check as under way; returns whether one already was.
+    pub(super) fn begin_end_check(&mut self) -> bool {
         std::mem::replace(&mut self.is_end_check_running, true)
     }
 
-    /// That is found out.
-    pub(super) fn end_check(&mut self) {
+    /// Marks the check as finished.
+    pub(super) fn finish_end_check(&mut self) {
         self.is_end_check_running = false;
     }
 }
 
 impl Entry {
-    /// What is known of every endpoint.
+    /// The states of all listed endpoints.
     pub fn endpoint_states(&self) -> Ref<'_, EndpointStates> {
         self.endpoint_states.borrow()
     }
 
-    /// The same, to be changed.
+    /// The states of all listed endpoints, for changes.
     pub fn endpoint_states_mut(&self) -> RefMut<'_, EndpointStates> {
         self.endpoint_states.borrow_mut()
     }
 
-    /// Changes what is known of an endpoint; nothing when it has left.
+    /// Changes the state of an endpoint; does nothing if it has left the list.
     pub fn update_endpoint_state(&self, key: EndpointKey, change: impl FnOnce(&mut EndpointState)) {
         if let Some(endpoint_state) = self.endpoint_states.borrow_mut().get_mut(key) {
             change(endpoint_state);
         }
     }
 
-    /// A connection to an endpoint that waits for use.
+    /// Takes an idle connection to an endpoint that is still usable; drops the unusable ones that
+    /// it finds before.
     pub fn take_idle_connection(&self, key: EndpointKey) -> Option<Connection> {
         let now = self.clock.now();
         let mut endpoint_states = self.endpoint_states.borrow_mut();
-        let idle = &mut endpoint_states.get_mut(key)?.idle;
+        let idle = &mut endpoint_states.get_mut(key)?.idle_connections;
         while let Some(channel) = idle.pop() {
             if now < idle_until(&channel) && channel.is_idle() {
                 return Some(channel);
@@ -113,19 +116,20 @@
         None
     }
 
-    /// Keeps a connection for another request.
+    /// Keeps a connection for later requests; drops it if [`MAX_IDLE`] are kept already or the
+    /// endpoint has left the list.
     pub fn keep_connection(&self, key: EndpointKey, mut channel: Connection) {
         channel.idle_since = self.clock.now();
         let mut endpoint_states = self.endpoint_states.borrow_mut();
         if let Some(endpoint_state) = endpoint_states.get_mut(key) {
-            if endpoint_state.idle.len() < MOST_IDLE {
-                endpoint_state.idle.push(channel);
+            if endpoint_state.idle_connections.len() < MAX_IDLE {
+                endpoint_state.idle_connections.push(channel);
             }
         }
     }
 
-    /// Requests a second that this entry may send to an endpoint of a pool; `None` where that is not limited,
-    /// since the endpoint is not taken to warm up.
+    /// Requests per second that this entry may send to an endpoint while that warms up; `None` if
+    /// there is no such bound.
     pub fn warm_up_share(&self, endpoint: &Endpoint, warm_up: Option<WarmUp>) -> Option<usize> {
         let warm_up = warm_up?;
         let now = self.clock.now();
@@ -138,7 +142,10 @@
         let own = settings.link.ip();
         let has_others = settings.seeds.iter().any(|seed| seed.ip() != own);
         let excess = settings.bounds.warm_up_excess();
-        let sharers = self.fleet.get().sharers(now - self.started, has_others);
+        let sharers = self
+            .fleet_size
+            .get()
+            .sharers(now - self.started_at, has_others);
         Some(warmup::share(
             warm_up,
             excess,
@@ -148,18 +155,19 @@
         ))
     }
 
-    /// Counts the entries that serve now for the shares of endpoints that warm up.
-    pub(super) fn see_fleet(&self) {
-        let mut fleet = self.fleet.get();
+    /// Counts the entries that serve now, among which the rate of endpoints that warm up is shared
+    /// out.
+    pub(super) fn update_fleet_size(&self) {
+        let mut fleet = self.fleet_size.get();
         fleet.saw(self.peers.borrow().entries(self.clock.now()));
-        self.fleet.set(fleet);
+        self.fleet_size.set(fleet);
     }
 
-    /// An endpoint failed a request.
+    /// Records that an endpoint failed a request; logs it if the endpoint is set aside for that.
     pub fn endpoint_failed(&self, key: EndpointKey, fault: Fault, why: &str) {
         let now = self.clock.now();
         if fault == Fault::Contact {
-            // It may have started again, and its entry in the list is from before.
+            // It may have restarted since its list entry was written.
             self.directory.borrow_mut().assume_warm_up(key, now);
         }
         let mut set_aside = false;
@@ -171,20 +179,20 @@
         }
     }
 
-    /// An endpoint served a request.
+    /// Records that an endpoint served a request; logs it if the endpoint is taken back into use.
     pub fn endpoint_served(&self, key: EndpointKey) {
         let mut taken_back = false;
         self.update_endpoint_state(key, |endpoint_state| {
-            let was_aside = endpoint_state.record.is_aside();
+            let was_set_aside = endpoint_state.record.is_aside();
             endpoint_state.record.succeeded();
-            taken_back = was_aside && !endpoint_state.record.is_aside();
+            taken_back = was_set_aside && !endpoint_state.record.is_aside();
         });
         if taken_back {
             self.log_health(key, false, "served a request");
         }
     }
 
-    /// What this entry did lately at a pool.
+    /// Calls `look` with the recent activity of this entry in a pool.
     pub fn turnover<T>(&self, pool: &str, look: impl FnOnce(&mut Turnover) -> T) -> T {
         let mut turnovers = self.turnovers.borrow_mut();
         if let Some(turnover) = turnovers.get_mut(pool) {
@@ -219,23 +227,27 @@
         }
     }
 
-    /// A run at an endpoint was lost.
-    fn run_lost(self: &Rc<Self>, key: EndpointKey, run: LostRun) {
-        if !self.may_end_by_a_run(key, run.lost) {
+    /// Records a lost run, and finds out whether the endpoint has ended if the run's connection
+    /// broke.
+    fn record_lost_run(self: &Rc<Self>, key: EndpointKey, run: LostRun) {
+        if !self.run_may_cause_end(key, run.lost) {
             return;
         }
         let mut ended = None;
-        self.update_endpoint_state(key, |endpoint_state| ended = endpoint_state.lost.lost(run));
+        self.update_endpoint_state(key, |endpoint_state| {
+            ended = endpoint_state.lost_runs.lost(run)
+        });
         if let Some(sign) = ended {
-            self.runs_ended_with(key, sign, &[run]);
+            self.report_lost_runs(key, sign, &[run]);
         } else if run.how == LostHow::Broken {
-            self.check_end(key);
+            self.check_for_end(key);
         }
     }
 
-    /// Whether a run could be the cause if an endpoint ended now: not of one that leaves as planned, nor of one
-    /// that warms up and falls over at a rate that all entries cause together.
-    fn may_end_by_a_run(&self, key: EndpointKey, now: Millis) -> bool {
+    /// Whether a run could be the cause if an endpoint ended now. It is not for an endpoint that
+    /// leaves as planned, nor for one that is overloaded while it warms up, which all entries cause
+    /// together.
+    fn run_may_cause_end(&self, key: EndpointKey, now: Millis) -> bool {
         let directory = self.directory.borrow();
         let Some(endpoint) = directory.get(key) else {
             return false;
@@ -244,36 +256,38 @@
         !leaves && !endpoint.is_listed_warming(now)
     }
 
-    /// The life of an endpoint is over.
+    /// Handles the end of an endpoint's incarnation: runs that were lost with it come under
+    /// suspicion.
     pub fn endpoint_ended(&self, key: EndpointKey, sign: EndSign) {
         let now = self.clock.now();
         let mut lost = Vec::new();
         self.update_endpoint_state(key, |endpoint_state| {
-            lost = endpoint_state.lost.ended(sign, now)
+            lost = endpoint_state.lost_runs.ended(sign, now)
         });
         if !lost.is_empty() {
-            self.runs_ended_with(key, sign, &lost);
+            self.report_lost_runs(key, sign, &lost);
         }
     }
 
-    /// Runs were lost with an endpoint.
-    fn runs_ended_with(&self, key: EndpointKey, sign: EndSign, lost: &[LostRun]) {
+    /// Counts and logs the runs that were lost with an endpoint, and puts their requests under
+    /// suspicion.
+    fn report_lost_runs(&self, key: EndpointKey, sign: EndSign, lost: &[LostRun]) {
         self.metrics.runs_ended(sign, lost.len() as u64);
         let mut endpoint = String::new();
         let mut pool = String::new();
-        let mut life = 0;
+        let mut incarnation = 0;
         self.update_endpoint_state(key, |endpoint_state| {
             endpoint.clone_from(&endpoint_state.id);
             pool.clone_from(&endpoint_state.pool);
-            life = endpoint_state.life;
+            incarnation = endpoint_state.incarnation;
         });
         self.log.state_change(Decision::EndpointEnded {
             endpoint,
             sign,
             lost: lost.iter().map(|run| run.request.to_string()).collect(),
         });
-        let among = self.among(&pool, key);
-        self.suspect(life, among, lost);
+        let pool_snapshot = self.pool_snapshot(&pool, key);
+        self.suspect_lost_runs(incarnation, pool_snapshot, lost);
     }
 
     fn log_health(&self, key: EndpointKey, aside: bool, why: &str) {
@@ -286,7 +300,7 @@
         }
     }
 
-    /// Opens an account for each endpoint that has none.
+    /// Creates the state of each listed endpoint that has none.
     pub(super) fn add_missing_endpoint_states(&self) {
         let directory = self.directory.borrow();
         let smallest = directory.smallest_pool_size();
@@ -297,7 +311,7 @@
                 let endpoint_state = EndpointState {
                     id: endpoint.listed.id.clone(),
                     pool: endpoint.listed.pool.clone(),
-                    life: endpoint.digest,
+                    incarnation: endpoint.digest,
                     ..EndpointState::default()
                 };
                 endpoint_states.insert(key, endpoint_state);
@@ -305,7 +319,7 @@
         }
     }
 
-    /// Drops what is known of endpoints that left the list.
+    /// Drops the states of endpoints that left the list.
     pub(super) fn forget(&self, gone: &[EndpointKey]) {
         for key in gone {
             self.endpoint_ended(*key, EndSign::Unlisted);
@@ -318,13 +332,14 @@
     pub(super) fn close_idle(&self, now: Millis) {
         for endpoint_state in self.endpoint_states.borrow_mut().values_mut() {
             endpoint_state
-                .idle
+                .idle_connections
                 .retain(|channel| now < idle_until(channel));
         }
     }
 }
 
-/// A request at an endpoint.
+/// A request at an endpoint. Dropping it removes the request from the endpoint's load and records
+/// how the run ended.
 #[derive(Debug)]
 pub struct RunGuard {
     entry: Rc<Entry>,
@@ -340,17 +355,17 @@
 /// How a run at an endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
-    /// The endpoint gave its whole answer.
+    /// The endpoint sent its whole answer.
     Answered,
-    /// The endpoint did not run it, or answered with an error, which may tell that its time was over before: nothing
-    /// follows for what it asks for.
+    /// The endpoint did not run it, or answered with an error, possibly because the request's time
+    /// was over. Neither tells whether the request ends endpoints.
     Undecided,
-    /// Neither.
+    /// The run was lost: neither of the above.
     Lost(LostHow),
 }
 
 impl RunGuard {
-    /// The endpoint has read the prompt.
+    /// Records that the endpoint has read the prompt.
     pub fn read(&self) {
         if !self.is_read.replace(true) {
             let footprint = self.footprint;
@@ -361,17 +376,17 @@
         }
     }
 
-    /// The endpoint has answered it.
+    /// Records that the endpoint has sent its whole answer.
     pub fn answered(&self) {
         self.end.set(RunEnd::Answered);
     }
 
-    /// The endpoint did not run it, or answered with an error.
+    /// Records that the endpoint did not run it, or answered with an error.
     pub fn undecided(&self) {
         self.end.set(RunEnd::Undecided);
     }
 
-    /// Its connection broke.
+    /// Records that its connection broke.
     pub fn broken(&self) {
         self.end.set(RunEnd::Lost(LostHow::Broken));
     }
@@ -392,7 +407,7 @@
                 .update_endpoint_state(self.key, |endpoint_state| endpoint_state.load.made_room());
         }
         match self.end.get() {
-            RunEnd::Answered => self.entry.run_finished(self.request),
+            RunEnd::Answered => self.entry.record_run_finished(self.request),
             RunEnd::Undecided => {}
             RunEnd::Lost(how) => {
                 let run = LostRun {
@@ -401,7 +416,7 @@
                     lost: self.entry.clock.now(),
                     how,
                 };
-                self.entry.run_lost(self.key, run);
+                self.entry.record_lost_run(self.key, run);
             }
         }
     }
@@ -411,6 +426,6 @@
 fn idle_until(channel: &Connection) -> Millis {
     let told = channel
         .idle_time
-        .map(|time| (time.0 as f64 * IDLE_PART) as u64);
-    channel.idle_since + Millis(told.unwrap_or(IDLE_TIME.0).min(IDLE_TIME.0))
+        .map(|time| (time.0 as f64 * IDLE_FRACTION) as u64);
+    channel.idle_since + Millis(told.unwrap_or(MAX_IDLE_TIME.0).min(MAX_IDLE_TIME.0))
 }
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -277,7 +277,7 @@
         is_unresponsive: impl Fn(SocketAddr) -> bool,
     ) -> Coordinator {
         let peers = self.peers.borrow();
-        let (now, started) = (self.clock.now(), self.started);
+        let (now, started) = (self.clock.now(), self.started_at);
         peers.coordinator(target.endpoint, target.zone, started, now, is_unresponsive)
     }
 
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -1,7 +1,8 @@
-//! The state of a direct entry that its tasks share, and where it is in its life.
+//! The state of a direct entry that its tasks share, and the phases from serving to its planned
+//! stop.
 
 mod announcements;
-mod beliefs;
+mod catalog_and_list;
 mod endpoint_states;
 mod limited;
 mod store;
@@ -36,113 +37,118 @@
 use crate::direct::warmup::FleetSize;
 use crate::quarantine::Quarantine;
 
-/// Where a process is in its life.
+/// Phase of a process between its start and the end of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Still takes work, told the balancer not to send more.
+    /// Still accepts requests, but tells the load balancer to send no more.
     Draining,
-    /// Takes no new work and finishes what it has.
+    /// Accepts no new requests and finishes those in flight.
     Stopping,
 }
 
 /// What an entry fetches from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fetch {
-    /// A newer configuration.
+    /// A newer version of the configuration.
     Catalog,
-    /// Changes that the peer has applied and this entry has not.
+    /// Changes of the list of endpoints that the peer has applied and this entry has not.
     Changes,
 }
 
-/// One direct entry.
+/// The shared state of one direct entry. It is used by the tasks of a single thread, so it needs no
+/// locks.
 #[derive(Debug)]
 pub struct Entry {
-    /// Time.
+    /// Source of the current time.
     pub clock: Clock,
-    /// Settings in force.
+    /// Settings in force; reloaded while the process runs.
     pub settings: RefCell<DirectSettings>,
-    /// Wire formats.
+    /// Wire formats of callers, endpoints and the store.
     pub dialect: Rc<dyn Dialect>,
-    /// This life of the process.
+    /// Random identity of this incarnation of the process.
     pub id: PeerId,
-    /// Decision log.
+    /// The log of decisions and state changes.
     pub log: DecisionLog,
-    /// Counters.
+    /// Metrics.
     pub metrics: Gauges,
-    /// Other entries.
+    /// The other entries, as far as known.
     pub peers: RefCell<PeerTable>,
-    /// What endpoints keep of prompts.
+    /// Which prompt prefixes endpoints are thought to have in their caches.
     pub prefixes: RefCell<PrefixMap>,
-    /// Prompts placed lately, for peers.
+    /// Prompts that this entry sent to endpoints recently, to be reported to peers.
     pub placements: RefCell<RecentPlacements>,
-    /// Prompts placed lately in the own availability zone, for other zones.
+    /// Prompts that entries of the own availability zone sent recently, to be reported to other
+    /// zones.
     pub zone_placements: RefCell<RecentPlacements>,
-    /// Limits that endpoints named for all instances together.
+    /// Limits that endpoints announced for all instances together.
     pub limits: RefCell<Limits>,
-    /// Questions to peers for permits that wait for their answers.
+    /// Permit requests to peers that wait for their responses.
     permit_requests: PendingRequests,
-    /// Requests that wait for a permit.
+    /// Number of requests that wait for a permit.
     waiting_for_permit: Cell<u32>,
-    /// Where datagrams to peers leave; set once the process listens.
+    /// Socket for datagrams to peers; set once the process listens.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
-    /// Requests that began and ended lately, by pool.
+    /// Requests that began and ended recently, by pool.
     turnovers: RefCell<HashMap<String, Turnover>>,
-    /// Retry budgets by pool.
+    /// Retry budgets, by pool.
     pub retries: RefCell<HashMap<String, RetryWindow>>,
-    /// Requests under which endpoints ended.
+    /// Requests that are suspected of ending endpoints.
     pub quarantine: RefCell<Quarantine>,
-    /// Wakes requests that wait for one of their kind.
+    /// Wakes requests under suspicion that wait for their turn to be sent.
     pub quarantine_changed: Notify,
-    /// Wakes the task that tells peers.
+    /// Wakes the gossip task to inform peers before the next round.
     pub gossip_requested: Notify,
-    /// Wakes the watch to read everything anew.
+    /// Wakes the watch task to read the whole list again.
     pub relist_requested: Notify,
-    /// Has the watch asked again on a new connection: the one that waits may have lost its answer.
+    /// Wakes the watch task to repeat its request on a new connection: the response to the pending
+    /// one may be lost.
     pub rewatch_requested: Notify,
-    /// Since when a peer has applied changes that this entry has not, and up to which revision.
-    behind: Cell<Option<(Millis, Revision)>>,
+    /// Since when a peer has had changes of the list that this entry has not, and the peer's
+    /// revision then.
+    behind_peer_since: Cell<Option<(Millis, Revision)>>,
     endpoint_states: RefCell<EndpointStates>,
     directory: RefCell<Directory>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     /// Since when a peer has had a newer version of the configuration.
-    missing_since: Cell<Option<Millis>>,
-    /// Newest versions of the configuration, for peers.
-    versions: RefCell<VersionLog>,
+    newer_catalog_since: Cell<Option<Millis>>,
+    /// The newest versions of the configuration, for peers.
+    version_log: RefCell<VersionLog>,
     freshness: Cell<Freshness>,
-    /// Revision of the store up to which the list of endpoints is complete here.
+    /// Store revision up to which the list of endpoints is complete here.
     list_revision: Cell<Revision>,
-    /// Revision of the store up to which the configuration in force is known to be the newest.
+    /// Store revision up to which the configuration in force is known to be the newest.
     catalog_revision: Cell<Revision>,
-    /// When the store was asked, and the revision that is to be applied before that is a proof.
-    unproven: Cell<Option<(Millis, Revision)>>,
-    /// Whether the endpoints have been listed whole once.
-    listed: Cell<bool>,
+    /// A proof of freshness that still waits: when the store was asked, and the store revision up
+    /// to which the configuration must be known for the proof to hold.
+    pending_proof: Cell<Option<(Millis, Revision)>>,
+    /// Whether a whole list of endpoints has ever been applied.
+    has_list: Cell<bool>,
     /// Whether the store answered the last call; `None` before the first one.
     store_answers: Cell<Option<bool>>,
-    /// The large answer of the store that is or was on its way last.
+    /// The last large response of the store, complete or still arriving.
     large_answer: Cell<Option<LargeAnswer>>,
     in_flight: Cell<u64>,
-    /// Whether the store is watched, and answered last.
+    /// Whether this entry watches the store itself, rather than relying on peers.
     watching: Cell<bool>,
-    /// Changes of the list, for peers.
-    changes: RefCell<ChangeLog>,
-    /// Keys of entries of the store that can't be read.
+    /// Changes of the list of endpoints, for peers.
+    change_log: RefCell<ChangeLog>,
+    /// Keys of store entries that cannot be read.
     unreadable: RefCell<HashSet<String>>,
-    /// The most entries that were seen to serve.
-    fleet: Cell<FleetSize>,
+    /// The most entries that were ever seen to serve.
+    fleet_size: Cell<FleetSize>,
     /// When this process started.
-    started: Millis,
-    /// Peers that don't keep the changes after the revision up to which the list is complete here.
-    unkept: RefCell<HashSet<SocketAddr>>,
-    /// What is being fetched from peers.
-    fetching: RefCell<HashSet<Fetch>>,
+    started_at: Millis,
+    /// Peers that do not have the changes that follow `list_revision`.
+    peers_without_changes: RefCell<HashSet<SocketAddr>>,
+    /// What is being fetched from peers now.
+    active_fetches: RefCell<HashSet<Fetch>>,
     process_state: watch::Sender<ProcessState>,
 }
 
 impl Entry {
-    /// An entry that knows nothing yet.
+    /// An entry without a configuration, endpoints or peers other than the seeds of its settings.
     pub fn new(
         settings: DirectSettings,
         dialect: Rc<dyn Dialect>,
@@ -172,49 +178,51 @@
             gossip_requested: Notify::new(),
             relist_requested: Notify::new(),
             rewatch_requested: Notify::new(),
-            behind: Cell::default(),
+            behind_peer_since: Cell::default(),
             endpoint_states: RefCell::default(),
             directory: RefCell::default(),
             catalog: RefCell::default(),
-            missing_since: Cell::default(),
-            versions: RefCell::default(),
+            newer_catalog_since: Cell::default(),
+            version_log: RefCell::default(),
             freshness: Cell::default(),
             list_revision: Cell::default(),
             catalog_revision: Cell::default(),
-            unproven: Cell::default(),
-            listed: Cell::default(),
+            pending_proof: Cell::default(),
+            has_list: Cell::default(),
             store_answers: Cell::default(),
             large_answer: Cell::default(),
             in_flight: Cell::default(),
             watching: Cell::default(),
-            changes: RefCell::default(),
+            change_log: RefCell::default(),
             unreadable: RefCell::default(),
-            fleet: Cell::default(),
-            started: clock.now(),
-            unkept: RefCell::default(),
-            fetching: RefCell::default(),
+            fleet_size: Cell::default(),
+            started_at: clock.now(),
+            peers_without_changes: RefCell::default(),
+            active_fetches: RefCell::default(),
             process_state: watch::Sender::new(ProcessState::Serving),
             clock,
             settings: RefCell::new(settings),
         })
     }
 
-    /// Where the process is in its life.
+    /// The phase of the process.
     pub fn process_state(&self) -> ProcessState {
         *self.process_state.borrow()
     }
 
-    /// Notices changes of [`Entry::process_state`].
+    /// Receives changes of [`Entry::process_state`].
     pub fn watch_process_state(&self) -> watch::Receiver<ProcessState> {
         self.process_state.subscribe()
     }
 
-    /// Whether the balancer should send connections: requests can be decided and are wanted.
+    /// Whether the load balancer should send connections: the process serves, the configuration and
+    /// the list of endpoints have been read, and the configuration is fresh enough for requests
+    /// with a key.
     pub fn is_ready(&self) -> bool {
         let bound = self.settings.borrow().bounds.max_key_proof_age();
         let fresh = bound.is_none_or(|b| self.freshness.get().within(self.clock.now(), b));
         self.process_state() == ProcessState::Serving
-            && self.listed.get()
+            && self.has_list.get()
             && self.version() > 0
             && fresh
     }
@@ -225,22 +233,23 @@
         InFlight(Rc::clone(self))
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.get()
     }
 
-    /// Whether this may be fetched from a peer: one fetch of a kind at a time.
+    /// Marks a fetch as begun; false if one of this kind is already under way.
     pub fn begin_fetch(&self, fetch: Fetch) -> bool {
-        self.fetching.borrow_mut().insert(fetch)
+        self.active_fetches.borrow_mut().insert(fetch)
     }
 
-    /// The fetch ended.
+    /// Marks the fetch as ended.
     pub fn end_fetch(&self, fetch: Fetch) {
-        self.fetching.borrow_mut().remove(&fetch);
+        self.active_fetches.borrow_mut().remove(&fetch);
     }
 
-    /// A peer is heard that was not before.
+    /// Logs that a peer was heard from that was not known or had been silent; `peers` counts all
+    /// that are heard from now.
     pub fn log_peer(&self, peer: SocketAddr, peers: usize) {
         self.log.state_change(Decision::Peer {
             peer: peer.to_string(),
@@ -249,15 +258,15 @@
         });
     }
 
-    /// The machine was suspended for a time, while the runtime's timers stood still: whatever waits for the store may wait
-    /// for an answer that was lost meanwhile.
+    /// Handles the end of a suspension of the machine that lasted `time`. Timers stood still
+    /// meanwhile, and the pending request to the store may have lost its response.
     pub fn handle_resume(&self, time: Millis) {
         let note = format!("after {} ms in which the machine was suspended", time.0);
         self.log_process("resumed", &note);
         self.rewatch_requested.notify_one();
     }
 
-    /// Begins a planned stop; a second call changes nothing.
+    /// Begins a planned stop; has no effect after the first call.
     pub fn begin_stop(&self, why: &str) {
         if self.process_state() == ProcessState::Serving {
             self.log_process("stopping", why);
@@ -265,12 +274,12 @@
         }
     }
 
-    /// Takes no new work from now on.
+    /// Accepts no new requests from now on.
     pub fn stop_accepting(&self) {
         self.process_state.send_replace(ProcessState::Stopping);
     }
 
-    /// Writes a line about the process itself.
+    /// Logs a change of the process itself.
     pub fn log_process(&self, state: &str, note: &str) {
         self.log.state_change(Decision::Process {
             state: state.into(),
@@ -278,14 +287,14 @@
         });
     }
 
-    /// Sets the gauges to what is true now.
+    /// Updates all gauges.
     pub fn update_metrics(&self) {
         let now = self.clock.now();
         let metrics = &self.metrics;
         metrics.set("catalog_version", self.version());
         metrics.set("applied_revision", self.applied());
         let behind = self
-            .behind
+            .behind_peer_since
             .get()
             .map_or(Millis(0), |(since, _)| now - since);
         metrics.set("behind_ms", behind.0);
@@ -310,7 +319,7 @@
     }
 }
 
-/// A request in flight.
+/// Counts one request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Rc<Entry>);
 
--- a/src/direct/entry/store.rs
+++ b/src/direct/entry/store.rs
@@ -1,5 +1,5 @@
-//! What an entry knows of the store: whether it answers, whether it is watched here, and whether a
-//! peer is ahead.
+//! What an entry knows of the store: whether it answers, whether this entry watches it, and whether
+//! a peer has newer data.
 
 use std::net::SocketAddr;
 
@@ -10,58 +10,62 @@
 use crate::direct::directory::Revision;
 use crate::direct::sync::CallError;
 
-/// Time behind a peer after which the watch is taken for lost: a watch brings changes at once, or
-/// after its pause for gathering them.
-const BEHIND: Millis = Millis(650);
+/// Time behind a peer after which the watch counts as lost: a working watch delivers changes at
+/// once, or after its pause for batching them.
+const MAX_LAG: Millis = Millis(650);
 
-/// Time after a piece of a large answer in which the store counts as answering; longer than a
-/// question to it may take.
-const LARGE_SILENCE: Millis = Millis(1_000);
-/// Time for which a large answer excuses the age of the proof that waits for it; after that others
-/// watch as well. 3 MB take as long over 10 Mbit/s.
-const LARGE_TIME: Millis = Millis(2_500);
+/// Time after a chunk of a large response in which the store counts as answering; longer than a
+/// request to it may take.
+const LARGE_ANSWER_STALL: Millis = Millis(1_000);
+/// Time for which a large response excuses the age of the proof that waits behind it; after that
+/// other entries watch as well. 3 MB take as long at 10 Mbit/s.
+const MAX_EXCUSED_TIME: Millis = Millis(2_500);
 
-/// Time for which a version that a peer has is left to peers to bring; after that this entry reads
-/// the store itself. It is enough for some tries, and for the store's answer within the bound on keys.
-const PEERS_TIME: Millis = Millis(1_500);
+/// Time for which this entry waits for peers to deliver a version that one of them has, before it
+/// reads the store itself. It allows for some tries, and for the store's response within the bound
+/// on the age of a proof for requests with a key.
+const PEER_DELIVERY_TIME: Millis = Millis(1_500);
 
-/// A large answer of the store that is on its way, or was.
+/// A large response of the store, complete or still arriving.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LargeAnswer {
     since: Millis,
-    /// When its last piece came.
-    last: Millis,
+    /// When its last chunk arrived.
+    last_chunk_at: Millis,
 }
 
 impl Entry {
-    /// A piece of a large answer of the store came.
+    /// Records that a chunk of a large response of the store arrived.
     pub fn record_large_answer_piece(&self) {
         let now = self.clock.now();
-        let since = self.arriving().map_or(now, |answer| answer.since);
-        self.large_answer
-            .set(Some(LargeAnswer { since, last: now }));
+        let since = self.arriving_answer().map_or(now, |answer| answer.since);
+        self.large_answer.set(Some(LargeAnswer {
+            since,
+            last_chunk_at: now,
+        }));
     }
 
-    /// The large answer of the store that is on its way now.
-    fn arriving(&self) -> Option<LargeAnswer> {
+    /// The large response of the store that is arriving now, if any.
+    fn arriving_answer(&self) -> Option<LargeAnswer> {
         let now = self.clock.now();
         let answer = self.large_answer.get();
-        answer.filter(|answer| now - answer.last < LARGE_SILENCE)
+        answer.filter(|answer| now - answer.last_chunk_at < LARGE_ANSWER_STALL)
     }
 
-    /// Whether a large answer of the store is on its way.
+    /// Whether a large response of the store is arriving now.
     pub fn is_reading_large_answer(&self) -> bool {
-        self.arriving().is_some()
+        self.arriving_answer().is_some()
     }
 
-    /// Whether one is on its way that has not taken too long.
+    /// Whether a large response is arriving and has not taken too long, so that it excuses an old
+    /// proof.
     pub fn is_stale_proof_excused(&self) -> bool {
         let now = self.clock.now();
-        let arriving = self.arriving();
-        arriving.is_some_and(|answer| now - answer.since < LARGE_TIME)
+        let arriving_answer = self.arriving_answer();
+        arriving_answer.is_some_and(|answer| now - answer.since < MAX_EXCUSED_TIME)
     }
 
-    /// The store answered a call.
+    /// Records that the store answered a call. If the one before failed, the watch is repeated.
     pub fn store_answered(&self) {
         let now = self.clock.now();
         self.directory.borrow_mut().list_available(now);
@@ -77,12 +81,12 @@
         }
     }
 
-    /// Whether this entry hears of changes from the store itself.
+    /// Whether this entry watches the store itself and the store answers.
     pub fn is_watching(&self) -> bool {
         self.watching.get() && self.store_answers.get() == Some(true)
     }
 
-    /// The store is watched from now on, or no longer.
+    /// Sets whether this entry watches the store itself; logs changes.
     pub fn set_watching(&self, watching: bool) {
         if self.watching.replace(watching) != watching {
             let state = if watching { "watches" } else { "follows" };
@@ -90,17 +94,18 @@
         }
     }
 
-    /// Changes of the list after a revision, for a peer; `None` when they are not all kept here.
+    /// Changes of the list after a revision, for a peer; `None` if some of them are not kept here,
+    /// or there are none.
     pub fn changes_since(&self, revision: Revision) -> Option<ChangeBatch> {
-        self.changes.borrow().since(revision)
+        self.change_log.borrow().since(revision)
     }
 
-    /// The whole list as it is known here, for a peer.
+    /// The whole list as known here, for a peer.
     pub fn whole_list(&self) -> ChangeBatch {
         ChangeBatch::from_listing(self.directory.borrow().listing(), self.list_revision.get())
     }
 
-    /// Takes the whole list of a peer that is ahead.
+    /// Applies the whole list of a peer whose list is newer.
     pub fn apply_peer_list(&self, passed: ChangeBatch) {
         let up_to = passed.up_to;
         if up_to > self.list_revision.get() {
@@ -110,25 +115,28 @@
 
     /// Revision after which all changes of the list are kept here, for peers.
     pub fn changes_after(&self) -> Revision {
-        self.changes.borrow().after()
+        self.change_log.borrow().after()
     }
 
-    /// Whether a peer may have the changes that lead on from here: it has more, and did not say that it lacks them.
+    /// Whether a peer may have the changes that follow the list here: its list reaches up to the
+    /// later revision `revision`, it keeps changes from `after` on, and it has not said that it
+    /// lacks them.
     pub fn may_have_changes(&self, peer: SocketAddr, revision: Revision, after: Revision) -> bool {
         let listed = self.list_revision.get();
-        revision > listed && after <= listed && !self.unkept.borrow().contains(&peer)
+        revision > listed && after <= listed && !self.peers_without_changes.borrow().contains(&peer)
     }
 
-    /// A peer does not keep the changes that lead on from here. It is not asked for them again, and the store is.
+    /// Records that a peer does not have the changes that follow the list here. It is not asked for
+    /// them again, and the store is asked instead.
     pub fn mark_changes_unavailable(&self, peer: SocketAddr) {
-        self.unkept.borrow_mut().insert(peer);
+        self.peers_without_changes.borrow_mut().insert(peer);
         self.rewatch_requested.notify_one();
     }
 
-    /// The list is complete up to a later revision.
+    /// Records that the list is complete up to a later revision.
     pub(super) fn list_advanced(&self, up_to: Revision) {
         self.list_revision.set(up_to);
-        self.unkept.borrow_mut().clear();
+        self.peers_without_changes.borrow_mut().clear();
     }
 
     /// Whether the last call to the store failed.
@@ -136,44 +144,49 @@
         self.store_answers.get() == Some(false)
     }
 
-    /// A peer's list of endpoints is complete up to a revision.
+    /// Records that a peer's list of endpoints is complete up to a revision. If this entry's list
+    /// stays behind for [`MAX_LAG`], its watch is repeated.
     ///
-    /// A watch whose answer was lost waits in silence while peers' proofs keep the configuration
+    /// A watch whose response was lost would wait in silence: peers' proofs keep the configuration
     /// fresh, so the list of endpoints would grow old unnoticed.
     pub fn note_peer_list_revision(&self, revision: Revision) {
         let now = self.clock.now();
         let listed = self.list_revision.get();
-        let behind = self.behind.get().filter(|(_, missing)| listed < *missing);
+        let behind = self
+            .behind_peer_since
+            .get()
+            .filter(|(_, missing)| listed < *missing);
         let behind = behind.or_else(|| (revision > listed).then_some((now, revision)));
-        self.behind.set(behind);
-        if behind.is_some_and(|(since, _)| now - since >= BEHIND) {
-            self.behind.set(None);
+        self.behind_peer_since.set(behind);
+        if behind.is_some_and(|(since, _)| now - since >= MAX_LAG) {
+            self.behind_peer_since.set(None);
             self.rewatch_requested.notify_one();
         }
     }
 
-    /// A peer has this version of the configuration.
+    /// Records that a peer has this version of the configuration.
     pub fn note_peer_catalog_version(&self, version: u64) {
-        if version > self.version() && self.missing_since.get().is_none() {
-            self.missing_since.set(Some(self.clock.now()));
+        if version > self.version() && self.newer_catalog_since.get().is_none() {
+            self.newer_catalog_since.set(Some(self.clock.now()));
         }
     }
 
     /// Whether peers watch the store for this entry and it has their version, or has missed it for
-    /// less than [`PEERS_TIME`].
+    /// less than [`PEER_DELIVERY_TIME`].
     pub fn can_get_catalog_from_peers(&self) -> bool {
         let now = self.clock.now();
-        let missing = self.missing_since.get();
-        let keeps_up = missing.is_none_or(|since| now - since < PEERS_TIME);
+        let missing = self.newer_catalog_since.get();
+        let keeps_up = missing.is_none_or(|since| now - since < PEER_DELIVERY_TIME);
         self.version() > 0 && keeps_up && !self.peers.borrow().should_watch(now)
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed; logs it if the one before did not.
     pub fn store_failed(&self, err: &CallError) {
         self.directory.borrow_mut().list_unavailable();
         if self.store_answers.replace(Some(false)) != Some(false) {
-            // Peers may still tell the whole list, for which they are asked while the store is away.
-            self.unkept.borrow_mut().clear();
+            // Peers may still have the whole list, for which they are asked while the store is
+            // unreachable.
+            self.peers_without_changes.borrow_mut().clear();
             self.log.state_change(Decision::Store {
                 answers: false,
                 why: err.to_string(),
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -1,4 +1,5 @@
-//! Requests under which endpoints ended: what this entry saw itself, and what peers told.
+//! Requests that may have caused endpoints to end: what this entry saw itself, and what peers
+//! reported.
 
 use std::rc::Rc;
 
@@ -14,14 +15,15 @@
 };
 
 impl Entry {
-    /// Whether a request may be sent to an endpoint now.
+    /// Whether a request may be sent to an endpoint now, by its suspicion status.
     pub fn request_status(&self, request: Fingerprint) -> QuarantineStatus {
         self.evaluate_suspects();
         let now = self.clock.now();
         self.quarantine.borrow().request_status(request, now)
     }
 
-    /// Judges the requests that may be the cause of ends, and tells of those that are refused from now on.
+    /// Evaluates the suspected requests that are due, and logs and reports to peers those that are
+    /// refused from now on.
     pub fn evaluate_suspects(&self) {
         let now = self.clock.now();
         let refused = self.quarantine.borrow_mut().evaluate_suspects(now);
@@ -29,57 +31,60 @@
             if let QuarantineStatus::Refused { ends, until } =
                 self.quarantine.borrow().request_status(request, now)
             {
-                self.changed(request, Change::Refused { ends, until });
+                self.handle_change(request, Change::Refused { ends, until });
             }
         }
     }
 
-    /// A request under suspicion is about to be sent.
-    pub fn suspect_began(&self, request: Fingerprint, at: Millis) {
+    /// Records that a request under suspicion is about to be sent, and informs peers.
+    pub fn record_suspect_start(&self, request: Fingerprint, at: Millis) {
         let change = self.quarantine.borrow_mut().record_start(request, at, at);
-        self.changed(request, change);
+        self.handle_change(request, change);
         self.gossip_requested.notify_one();
     }
 
-    /// An endpoint finished a request.
-    pub fn run_finished(&self, request: Fingerprint) {
+    /// Records that an endpoint finished a request. If that clears it of suspicion, peers are
+    /// informed.
+    pub fn record_run_finished(&self, request: Fingerprint) {
         let now = self.clock.now();
         let change = self
             .quarantine
             .borrow_mut()
             .record_completion(request, now, now);
         if change == Change::Cleared {
-            self.changed(request, change);
+            self.handle_change(request, change);
             self.gossip_requested.notify_one();
         }
     }
 
-    /// Takes what a peer tells of requests under suspicion.
+    /// Applies a peer's notices about requests under suspicion.
     pub fn apply_notices(&self, notices: &[Notice]) {
         let now = self.clock.now();
         for notice in notices {
-            let mut among = None;
+            let mut pool_snapshot = None;
             if let Notice::Ended { endpoint, .. } = notice {
-                among = self.among_told(*endpoint);
-                self.told_of_end(*endpoint);
+                pool_snapshot = self.reported_pool(*endpoint);
+                self.handle_reported_end(*endpoint);
             }
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.apply_notice_in_pool(notice, among, now);
+            let change = quarantine.apply_notice_in_pool(notice, pool_snapshot, now);
             drop(quarantine);
-            self.changed(notice.request(), change);
+            self.handle_change(notice.request(), change);
         }
     }
 
-    /// The endpoints among which one is of which a peer tells; `None` where it is not listed.
-    fn among_told(&self, life: IncarnationDigest) -> Option<PoolSnapshot> {
+    /// The pool of an endpoint that a peer reports, with its number of endpoints; `None` if the
+    /// endpoint is not listed here.
+    fn reported_pool(&self, incarnation: IncarnationDigest) -> Option<PoolSnapshot> {
         let directory = self.directory.borrow();
-        let key = directory.by_digest(life)?;
+        let key = directory.by_digest(incarnation)?;
         let pool = &directory.get(key)?.listed.pool;
-        Some(self.among(pool, key))
+        Some(self.pool_snapshot(pool, key))
     }
 
-    /// The endpoints of a pool among which one of them is.
-    pub(super) fn among(&self, pool: &str, key: EndpointKey) -> PoolSnapshot {
+    /// The pool that an endpoint belongs to, with the number of its endpoints: those that take work
+    /// now, and this one.
+    pub(super) fn pool_snapshot(&self, pool: &str, key: EndpointKey) -> PoolSnapshot {
         let now = self.clock.now();
         let directory = self.directory.borrow();
         let others = directory
@@ -91,11 +96,12 @@
         }
     }
 
-    /// Runs were lost with an endpoint whose life is over: each of them may have ended it.
-    pub(super) fn suspect(
+    /// Puts the requests of runs that were lost with an ended endpoint under suspicion: each of
+    /// them may have ended it.
+    pub(super) fn suspect_lost_runs(
         &self,
         endpoint: IncarnationDigest,
-        among: PoolSnapshot,
+        pool_snapshot: PoolSnapshot,
         lost: &[LostRun],
     ) {
         let now = self.clock.now();
@@ -106,16 +112,16 @@
                 ended: run.lost,
             };
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.record_end_in_pool(run.request, end, Some(among), now);
+            let change = quarantine.record_end_in_pool(run.request, end, Some(pool_snapshot), now);
             drop(quarantine);
-            self.changed(run.request, change);
+            self.handle_change(run.request, change);
         }
         self.gossip_requested.notify_one();
     }
 
-    /// Logs what changed and wakes those that wait for it. Peers that hear that a request is refused tell it on at
-    /// once.
-    fn changed(&self, request: Fingerprint, change: Change) {
+    /// Logs a change and wakes the requests that wait for it. When a request is refused, this entry
+    /// informs its peers at once, also if it learned that from one.
+    fn handle_change(&self, request: Fingerprint, change: Change) {
         match change {
             Change::None => return,
             Change::Refused { ends, until } => {
@@ -136,25 +142,28 @@
         });
     }
 
-    /// A peer saw the life of an endpoint end.
-    fn told_of_end(&self, endpoint: IncarnationDigest) {
+    /// Handles a peer's report that an endpoint has ended.
+    fn handle_reported_end(&self, endpoint: IncarnationDigest) {
         let key = self.directory.borrow().by_digest(endpoint);
         if let Some(key) = key {
             self.endpoint_ended(key, EndSign::Told);
         }
     }
 
-    /// Finds out whether an endpoint that broke a connection has ended: nothing listens any more then.
+    /// Finds out whether an endpoint that broke a connection has ended: then nothing listens at its
+    /// address any more.
     ///
-    /// Without this an end is known when the next request is sent there, 0.1 to 1.2 s later on small sites, and
-    /// what ended it may have come again by then.
-    pub(super) fn check_end(self: &Rc<Self>, key: EndpointKey) {
+    /// Without this check the end would be noticed when the next request is sent there, 0.1 to 1.2
+    /// s later on small sites. The request that caused it might have arrived again by then.
+    pub(super) fn check_for_end(self: &Rc<Self>, key: EndpointKey) {
         let Some(address) = self.directory.borrow().get(key).map(|e| e.listed.address) else {
             return;
         };
-        let mut is_new = false;
-        self.update_endpoint_state(key, |endpoint_state| is_new = !endpoint_state.begin_check());
-        if !is_new {
+        let mut is_first = false;
+        self.update_endpoint_state(key, |endpoint_state| {
+            is_first = !endpoint_state.begin_end_check()
+        });
+        if !is_first {
             return;
         }
         let entry = Rc::clone(self);
@@ -170,7 +179,7 @@
                     entry.keep_connection(key, channel);
                 }
             }
-            entry.update_endpoint_state(key, EndpointState::end_check);
+            entry.update_endpoint_state(key, EndpointState::finish_end_check);
             entry.quarantine_changed.notify_waiters();
         });
     }
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -81,7 +81,7 @@
             }
             QuarantineStatus::Suspect { .. } | QuarantineStatus::MustWait { .. } => {
                 self.turn = Some(now);
-                self.entry.suspect_began(self.request, now);
+                self.entry.record_suspect_start(self.request, now);
                 true
             }
         }
--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -71,7 +71,7 @@
         ended(&entry, POLLED, endpoint);
     };
     shared(0);
-    entry.suspect_began(ENDING, clock.now());
+    entry.record_suspect_start(ENDING, clock.now());
     assert_eq!(
         entry.request_status(POLLED),
         QuarantineStatus::Suspect { ends: 1 }
@@ -81,7 +81,7 @@
         entry.request_status(POLLED),
         QuarantineStatus::Suspect { ends: 2 }
     );
-    entry.suspect_began(ENDING, clock.now() + Millis(1));
+    entry.record_suspect_start(ENDING, clock.now() + Millis(1));
     let standing = entry.request_status(POLLED);
     assert!(
         matches!(
