--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -82,7 +82,7 @@
 
 /// Why a caller gets an error response that the entry itself makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ErrorResponse {
     /// The request did not run and will not; the caller may retry after the given time.
     NotRun(Millis),
     /// The request may have run, but its outcome is unknown.
@@ -190,7 +190,7 @@
     /// Path at which the load balancer checks whether this entry accepts connections.
     fn readiness_path(&self) -> &str;
     /// Parses the head of a caller's request. The error is the response that the caller gets.
-    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, Refusal>;
+    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, ErrorResponse>;
     /// Makes the head of the request to an endpoint; the body is forwarded unchanged.
     fn endpoint_request(
         &self,
@@ -203,7 +203,7 @@
     fn caller_response(&self, head: &ResponseHead) -> ResponseHead;
     /// Makes the head of an error response of the entry itself; `id` is `None` where the request
     /// could not be parsed.
-    fn error_response(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
+    fn error_response(&self, refusal: ErrorResponse, id: Option<&HeaderValue>) -> ResponseHead;
 
     /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -6,7 +6,7 @@
 
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::RefusalReason;
-use crate::direct::dialect::Refusal;
+use crate::direct::dialect::ErrorResponse;
 use crate::direct::entry::{Entry, Life};
 use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
@@ -29,7 +29,7 @@
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
     if entry.life() == Life::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
-        let refusal = Refusal::NotRun(COME_BACK_ELSEWHERE);
+        let refusal = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
         return refuse::write(entry, answerer, refusal, Some(&parsed)).await;
     }
     let allowed = match entry.allow(&parsed) {
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -12,7 +12,7 @@
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::CallerLimits;
-use crate::direct::dialect::Refusal;
+use crate::direct::dialect::ErrorResponse;
 use crate::direct::entry::{Entry, Life};
 
 /// Free space in the read buffer before each read, in bytes.
@@ -41,7 +41,7 @@
     /// The caller closed the connection, it was idle for too long, or this process is stopping.
     Closed,
     /// The request is malformed, too long or too slow; the caller gets this error response.
-    Refused(Refusal),
+    Refused(ErrorResponse),
 }
 
 /// The reading half of a caller's connection.
@@ -79,7 +79,7 @@
         );
         let head = reading
             .await
-            .map_err(|_| RequestReadError::Refused(Refusal::TooSlow))??;
+            .map_err(|_| RequestReadError::Refused(ErrorResponse::TooSlow))??;
         if head.expect() && self.read_buffer.is_empty() {
             answerer
                 .send_continue()
@@ -118,19 +118,19 @@
         answerer: &mut Answerer,
         limits: CallerLimits,
     ) -> Result<RequestHead, RequestReadError> {
-        let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
+        let malformed = |_| RequestReadError::Refused(ErrorResponse::Malformed);
         loop {
             let before = self.read_buffer.len();
             if let Some(message) = answerer.decode(&mut self.read_buffer).map_err(malformed)? {
                 let too_long = before - self.read_buffer.len() > limits.head_bytes;
                 return match message {
-                    _ if too_long => Err(RequestReadError::Refused(Refusal::HeadTooLong)),
+                    _ if too_long => Err(RequestReadError::Refused(ErrorResponse::HeadTooLong)),
                     Message::Item(req) => Ok(req.head().clone()),
-                    Message::Chunk(_) => Err(RequestReadError::Refused(Refusal::Malformed)),
+                    Message::Chunk(_) => Err(RequestReadError::Refused(ErrorResponse::Malformed)),
                 };
             }
             if before > limits.head_bytes {
-                return Err(RequestReadError::Refused(Refusal::HeadTooLong));
+                return Err(RequestReadError::Refused(ErrorResponse::HeadTooLong));
             }
             self.read().await?;
         }
@@ -145,24 +145,24 @@
         if !answerer.expects_body() {
             return Ok(Bytes::new());
         }
-        let malformed = |_| RequestReadError::Refused(Refusal::Malformed);
+        let malformed = |_| RequestReadError::Refused(ErrorResponse::Malformed);
         let mut body = BytesMut::new();
         loop {
             match answerer.decode(&mut self.read_buffer).map_err(malformed)? {
                 Some(Message::Chunk(Some(chunk))) => body.extend_from_slice(&chunk),
                 Some(Message::Chunk(None)) => return Ok(body.freeze()),
                 Some(Message::Item(_)) => {
-                    return Err(RequestReadError::Refused(Refusal::Malformed))
+                    return Err(RequestReadError::Refused(ErrorResponse::Malformed))
                 }
                 None => {
                     let reading = timeout(limits.head_time.duration(), self.read());
                     reading
                         .await
-                        .map_err(|_| RequestReadError::Refused(Refusal::TooSlow))??;
+                        .map_err(|_| RequestReadError::Refused(ErrorResponse::TooSlow))??;
                 }
             }
             if body.len() > limits.body_bytes {
-                return Err(RequestReadError::Refused(Refusal::BodyTooLong));
+                return Err(RequestReadError::Refused(ErrorResponse::BodyTooLong));
             }
         }
     }
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{RefusalReason, RequestOutcome};
-use crate::direct::dialect::Refusal;
+use crate::direct::dialect::ErrorResponse;
 use crate::direct::directory::EndpointKey;
 use crate::direct::load::BANDS;
 use crate::direct::refuse::{self, AllowedRequest};
@@ -69,7 +69,7 @@
         self.entry
             .gauges
             .request(&self.pool, Some(urgency), outcome);
-        let refusal = Refusal::NotRun(self.come_back(why));
+        let refusal = ErrorResponse::NotRun(self.come_back(why));
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
     }
 
@@ -142,7 +142,7 @@
             return self.broken();
         }
         self.log_ended(RequestOutcome::Unknown, 502);
-        refuse::write(self.entry, answerer, Refusal::Unknown, Some(self.ask)).await
+        refuse::write(self.entry, answerer, ErrorResponse::Unknown, Some(self.ask)).await
     }
 
     /// Its time is over.
@@ -154,7 +154,13 @@
             return self.give_up(answerer, RefusalReason::TimeOver).await;
         }
         self.log_ended(RequestOutcome::TimeOver, 504);
-        refuse::write(self.entry, answerer, Refusal::TimeOver, Some(self.ask)).await
+        refuse::write(
+            self.entry,
+            answerer,
+            ErrorResponse::TimeOver,
+            Some(self.ask),
+        )
+        .await
     }
 
     /// A stream that began can't be completed; its connection is closed without its end.
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{Decision, RefusalReason};
-use crate::direct::dialect::{ParsedRequest, Refusal};
+use crate::direct::dialect::{ErrorResponse, ParsedRequest};
 use crate::direct::entry::{Entry, Life};
 use crate::direct::intake::IncomingRequest;
 use crate::direct::resolve::Denied;
@@ -23,9 +23,9 @@
 ) -> bool {
     log(entry, ask, incoming, RefusalReason::Denied(denied), None);
     let refusal = match denied {
-        Denied::NoRoute => Refusal::NoRoute,
-        Denied::NoKey => Refusal::NoKey,
-        Denied::NoCatalog | Denied::StaleCatalog => Refusal::NotRun(COME_BACK_ELSEWHERE),
+        Denied::NoRoute => ErrorResponse::NoRoute,
+        Denied::NoKey => ErrorResponse::NoKey,
+        Denied::NoCatalog | Denied::StaleCatalog => ErrorResponse::NotRun(COME_BACK_ELSEWHERE),
     };
     write(entry, answerer, refusal, Some(ask)).await
 }
@@ -34,7 +34,7 @@
 pub async fn write(
     entry: &Entry,
     answerer: &mut Answerer,
-    refusal: Refusal,
+    refusal: ErrorResponse,
     ask: Option<&ParsedRequest>,
 ) -> bool {
     let head = entry
