--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -64,7 +64,7 @@
 pub struct ResponseInfo {
     /// Whether it belongs to the current request; otherwise it is a late response to an earlier
     /// one.
-    pub is_own: bool,
+    pub belongs_to_request: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
     /// Whether a different endpoint than the intended one has this address.
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -122,7 +122,7 @@
         let placed = self
             .entry
             .place(key, &self.pool, choice.footprint, self.request);
-        let is_own = |head: &ResponseHead| self.is_own(key, head);
+        let is_own = |head: &ResponseHead| self.belongs_to_request(key, head);
         let sending = channel.send(head, &self.incoming.body, is_own);
         let reply = match self.wait(sending, key, now).await {
             Ok(Ok(reply)) => reply,
@@ -154,16 +154,16 @@
 
     /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
     /// endpoint announces in it holds all the same.
-    fn is_own(&self, key: EndpointKey, head: &ResponseHead) -> bool {
+    fn belongs_to_request(&self, key: EndpointKey, head: &ResponseHead) -> bool {
         let response_info = self.entry.dialect.response_info(head, &self.ask.id);
-        if !response_info.is_own {
+        if !response_info.belongs_to_request {
             let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
             self.entry.endpoint_announced(key, announcement, id);
             let sent = Millis(0);
             self.entry
                 .endpoint_limited(key, announcement.limit, sent, id);
         }
-        response_info.is_own
+        response_info.belongs_to_request
     }
 
     /// The head that the endpoint gets; `None` when it has left the list.
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -268,12 +268,12 @@
         ],
     );
     let response_info = Platform.response_info(&good, &id);
-    assert!(response_info.is_own && response_info.sealed && !response_info.not_run);
+    assert!(response_info.belongs_to_request && response_info.sealed && !response_info.not_run);
     let report = response_info.report.unwrap();
     assert_eq!((report.running, report.waiting, report.slots), (3, 1, 8));
     assert_eq!(response_info.idle_time, Some(Millis(5_000)));
     let late = Platform.response_info(&response(200, &[("x-request-id", "8")]), &id);
-    assert!(!late.is_own);
+    assert!(!late.belongs_to_request);
     let shed = Platform.response_info(&response(503, &[("x-not-executed", "1")]), &id);
     assert!(shed.not_run && !shed.misdirected);
     let moved = Platform.response_info(&response(421, &[]), &id);
