--- a/src/direct/caller.rs
+++ b/src/direct/caller.rs
@@ -39,26 +39,26 @@
         tracing::debug!(%err, "TCP_NODELAY not set; small packets may be delayed");
     }
     let (reader, writer) = stream.into_split();
-    let mut intake = RequestReader::new(reader);
+    let mut request_reader = RequestReader::new(reader);
     let mut answerer = Answerer::new(writer);
     loop {
-        let read = intake.next(&entry, &mut answerer).await;
-        let kept = match read {
-            Ok(incoming) => serve_one(&entry, &incoming, &mut intake, &mut answerer).await,
-            Err(RequestReadError::Refused(refusal)) => {
-                let head = entry.dialect.error_response(refusal, None);
+        let read = request_reader.next(&entry, &mut answerer).await;
+        let keep_open = match read {
+            Ok(incoming) => serve_one(&entry, &incoming, &mut request_reader, &mut answerer).await,
+            Err(RequestReadError::Refused(error)) => {
+                let head = entry.dialect.error_response(error, None);
                 if answerer
                     .send_response(head, Bytes::new(), true)
                     .await
                     .is_ok()
                 {
-                    intake.linger_before_close(&mut answerer).await;
+                    request_reader.linger_before_close(&mut answerer).await;
                 }
                 false
             }
             Err(RequestReadError::Closed) => false,
         };
-        if !kept {
+        if !keep_open {
             return;
         }
     }
@@ -68,14 +68,14 @@
 async fn serve_one(
     entry: &Rc<Entry>,
     incoming: &IncomingRequest,
-    intake: &mut RequestReader,
+    request_reader: &mut RequestReader,
     answerer: &mut Answerer,
 ) -> bool {
     let _in_flight = entry.count_in_flight();
     let progress = RefCell::new(Progress::default());
     tokio::select! {
-        kept = handle(entry, incoming, answerer, &progress) => kept,
-        () = intake.caller_disconnected() => {
+        keep_open = handle(entry, incoming, answerer, &progress) => keep_open,
+        () = request_reader.caller_disconnected() => {
             progress.borrow().log_ended(entry, incoming, RequestOutcome::CallerGone, 0);
             false
         }
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -80,7 +80,7 @@
     pub announcement: Announcement,
 }
 
-/// Why a caller gets an error response that the entry itself makes.
+/// An error response that the entry itself sends to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorResponse {
     /// The request did not run and will not; the caller may retry after the given time.
@@ -203,7 +203,7 @@
     fn caller_response(&self, head: &ResponseHead) -> ResponseHead;
     /// Makes the head of an error response of the entry itself; `id` is `None` where the request
     /// could not be parsed.
-    fn error_response(&self, refusal: ErrorResponse, id: Option<&HeaderValue>) -> ResponseHead;
+    fn error_response(&self, error: ErrorResponse, id: Option<&HeaderValue>) -> ResponseHead;
 
     /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -24,13 +24,13 @@
 ) -> bool {
     let parsed = match entry.dialect.parse_request(&incoming.head) {
         Ok(parsed) => parsed,
-        Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
+        Err(error) => return refuse::write(entry, answerer, error, None).await,
     };
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
     if entry.life() == Life::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
-        let refusal = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
-        return refuse::write(entry, answerer, refusal, Some(&parsed)).await;
+        let error = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
+        return refuse::write(entry, answerer, error, Some(&parsed)).await;
     }
     let allowed = match entry.allow(&parsed) {
         Ok(allowed) => allowed,
