--- a/src/direct/decision.rs
+++ b/src/direct/decision.rs
@@ -79,7 +79,7 @@
     Stopping,
 }
 
-/// How a request ended after it was sent.
+/// How a request ended that this entry did not refuse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
@@ -173,7 +173,8 @@
         proof_age_ms: Option<u64>,
         /// Time since the request arrived, in ms.
         held_ms: u64,
-        /// Urgency of its route, 0 is the highest; `None` where no route allows it.
+        /// Urgency of its route, 0 is the highest; `None` where the request was refused before it
+        /// was allowed on a route.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         urgency: Option<u8>,
         /// Number of endpoints that, as far as this entry knew, had a free slot and accepted
@@ -207,7 +208,7 @@
         #[serde(skip_serializing_if = "String::is_empty", default)]
         fingerprint: String,
     },
-    /// A request ended after it was sent, or its caller disconnected.
+    /// A request ended that was not refused.
     Ended {
         /// Name of the route.
         route: String,
