--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -47,11 +47,11 @@
     /// Region of each availability zone, by the zone's name.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Bounds that operators set for this installation.
+    /// Bounds that the operators have committed to for this installation.
     pub bounds: Bounds,
 }
 
-/// Bounds that operators set for one installation.
+/// Bounds that the operators have committed to for one installation.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
