--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -80,14 +80,16 @@
     link: UdpSocket,
 ) -> Supervisor {
     let mut supervisor = Supervisor::new("direct entry");
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("signals", move || {
-        watch_signals(Rc::clone(&cx), path.clone())
+        watch_signals(Rc::clone(&shared_entry), path.clone())
     });
     spawn_sync_tasks(&mut supervisor, entry, link);
     spawn_listeners(&mut supervisor, entry, listeners);
-    let cx = Rc::clone(entry);
-    supervisor.child("housekeeping", move || run_housekeeping(Rc::clone(&cx)));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("housekeeping", move || {
+        run_housekeeping(Rc::clone(&shared_entry))
+    });
     supervisor
 }
 
@@ -96,34 +98,34 @@
     let link = Rc::new(link);
     // This is the only place that sets the link, so it can't be set already.
     let _ = entry.link.set(Rc::clone(&link));
-    let cx = Rc::clone(entry);
-    supervisor.child("follow", move || sync::follow(Rc::clone(&cx)));
-    let cx = Rc::clone(entry);
-    supervisor.child("prove", move || sync::prove(Rc::clone(&cx)));
-    let (cx, socket) = (Rc::clone(entry), Rc::clone(&link));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("follow", move || sync::follow(Rc::clone(&shared_entry)));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("prove", move || sync::prove(Rc::clone(&shared_entry)));
+    let (shared_entry, socket) = (Rc::clone(entry), Rc::clone(&link));
     supervisor.child("tell", move || {
-        gossip::send_rounds(Rc::clone(&cx), Rc::clone(&socket))
+        gossip::send_rounds(Rc::clone(&shared_entry), Rc::clone(&socket))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("hear", move || {
-        gossip::receive(Rc::clone(&cx), Rc::clone(&link))
+        gossip::receive(Rc::clone(&shared_entry), Rc::clone(&link))
     });
 }
 
 /// Starts the tasks that answer the load balancer, operators and callers.
 fn spawn_listeners(supervisor: &mut Supervisor, entry: &Rc<Entry>, listeners: [TcpListener; 3]) {
     let [callers, readiness, admin] = listeners.map(Rc::new);
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("readiness", move || {
-        ready::answer_readiness(Rc::clone(&cx), Rc::clone(&readiness))
+        ready::answer_readiness(Rc::clone(&shared_entry), Rc::clone(&readiness))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("admin", move || {
-        ready::answer_admin(Rc::clone(&cx), Rc::clone(&admin))
+        ready::answer_admin(Rc::clone(&shared_entry), Rc::clone(&admin))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("callers", move || {
-        caller::accept(Rc::clone(&cx), Rc::clone(&callers))
+        caller::accept(Rc::clone(&shared_entry), Rc::clone(&callers))
     });
 }
 
