--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -12,7 +12,8 @@
 //!   [`warmup`] limits the requests to endpoints that have just started.
 //! - Choice: for a [`demand`], the endpoint with the lowest [`price`] is chosen. The price depends
 //!   on the endpoint's [`load`], the [`prefix`] of the prompt that it has cached or can fetch from
-//!   another endpoint ([`moves`]), and the [`lanes`] of its pool.
+//!   another endpoint ([`moves`]), and how its pool is split between latency-sensitive streams and
+//!   long prompts ([`lanes`]).
 //! - Endpoints that end: [`ends`] keeps the runs that an endpoint did not finish until it is known
 //!   whether the endpoint itself has ended. [`crate::quarantine`] then counts that against what the
 //!   runs asked for.
--- a/src/direct/progress.rs
+++ b/src/direct/progress.rs
@@ -19,7 +19,7 @@
     pub urgency: Option<u8>,
     /// Identity of the endpoint that it was last sent to.
     pub endpoint: String,
-    /// When the first byte of the response was sent to the caller.
+    /// When the first byte of the response was about to be sent to the caller.
     pub first_byte_at: Option<Millis>,
     /// When the last chunk of a streamed response was sent.
     last_chunk_at: Option<Millis>,
