--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -8,7 +8,12 @@
 
 impl Entry {
     /// An endpoint announced something of itself in an answer to a request.
-    pub fn endpoint_announced(&self, key: EndpointKey, announcement: Announcement, request: &[u8]) {
+    pub fn record_announcement(
+        &self,
+        key: EndpointKey,
+        announcement: Announcement,
+        request: &[u8],
+    ) {
         if announcement.accepts_requests() {
             return;
         }
@@ -20,19 +25,19 @@
         };
         drop(directory);
         let mut endpoint = String::new();
-        self.account(key, |account| {
-            endpoint.clone_from(&account.id);
+        self.update_endpoint_state(key, |endpoint_state| {
+            endpoint.clone_from(&endpoint_state.id);
             if let Some(rest) = announcement.rest {
                 let until = now + rest.min(longest);
-                account.record.asked_for_rest(now, until);
+                endpoint_state.record.asked_for_rest(now, until);
             }
         });
         if announcement.leaves && !before.leaves {
-            self.gauges.announced(DeclineReason::Leaves);
+            self.metrics.announced(DeclineReason::Leaves);
             self.log_announced(request, &endpoint, DeclineReason::Leaves, None);
         }
         if let Some(rest) = announcement.rest {
-            self.gauges.announced(DeclineReason::Rests);
+            self.metrics.announced(DeclineReason::Rests);
             self.log_announced(request, &endpoint, DeclineReason::Rests, Some(rest));
         }
     }
@@ -54,7 +59,7 @@
     }
 
     /// Why an endpoint wants no requests now, by its own announcements.
-    pub fn unwilling(&self, key: EndpointKey) -> Option<DeclineReason> {
+    pub fn decline_reason(&self, key: EndpointKey) -> Option<DeclineReason> {
         let now = self.clock.now();
         self.directory().get(key)?.announced.decline_reason(now)
     }
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::{Account, Entry};
+use super::{EndpointState, Entry};
 use crate::clock::Millis;
 use crate::direct::channel::{Connection, ExchangeError};
 use crate::direct::decision::Decision;
@@ -38,7 +38,7 @@
     pub fn suspect_began(&self, request: Fingerprint, at: Millis) {
         let change = self.quarantine.borrow_mut().record_start(request, at, at);
         self.changed(request, change);
-        self.tell_now.notify_one();
+        self.gossip_requested.notify_one();
     }
 
     /// An endpoint finished a request.
@@ -50,12 +50,12 @@
             .record_completion(request, now, now);
         if change == Change::Cleared {
             self.changed(request, change);
-            self.tell_now.notify_one();
+            self.gossip_requested.notify_one();
         }
     }
 
     /// Takes what a peer tells of requests under suspicion.
-    pub fn take_notices(&self, notices: &[Notice]) {
+    pub fn apply_notices(&self, notices: &[Notice]) {
         let now = self.clock.now();
         for notice in notices {
             let mut among = None;
@@ -110,7 +110,7 @@
             drop(quarantine);
             self.changed(run.request, change);
         }
-        self.tell_now.notify_one();
+        self.gossip_requested.notify_one();
     }
 
     /// Logs what changed and wakes those that wait for it. Peers that hear that a request is refused tell it on at
@@ -119,7 +119,7 @@
         match change {
             Change::None => return,
             Change::Refused { ends, until } => {
-                self.tell_now.notify_one();
+                self.gossip_requested.notify_one();
                 let for_ms = (until - self.clock.now()).0;
                 self.log_refused(request, ends, for_ms);
             }
@@ -153,7 +153,7 @@
             return;
         };
         let mut is_new = false;
-        self.account(key, |account| is_new = !account.begin_check());
+        self.update_endpoint_state(key, |endpoint_state| is_new = !endpoint_state.begin_check());
         if !is_new {
             return;
         }
@@ -164,11 +164,13 @@
                 Err(ExchangeError::Refused) => entry.endpoint_ended(key, EndSign::Refused),
                 Err(_) => {}
                 Ok(channel) => {
-                    entry.account(key, |account| account.connected(begun));
-                    entry.keep_channel(key, channel);
+                    entry.update_endpoint_state(key, |endpoint_state| {
+                        endpoint_state.connected(begun)
+                    });
+                    entry.keep_connection(key, channel);
                 }
             }
-            entry.account(key, Account::end_check);
+            entry.update_endpoint_state(key, EndpointState::end_check);
             entry.quarantine_changed.notify_waiters();
         });
     }
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::clock::Millis;
-use crate::direct::entry::{Entry, Fetch, Life};
+use crate::direct::entry::{Entry, Fetch, ProcessState};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
@@ -44,13 +44,13 @@
     loop {
         tokio::select! {
             () = sleep_until(next) => next = Instant::now() + ROUND_INTERVAL.duration(),
-            () = entry.tell_now.notified() => {
+            () = entry.gossip_requested.notified() => {
                 tell_at_once(&entry, &socket).await;
                 continue;
             }
         }
         entry.evaluate_suspects();
-        entry.round_limits();
+        entry.update_limit_coordination();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS;
         let round = entry.peers.borrow_mut().round(entry.is_watching(), now);
@@ -103,9 +103,12 @@
 
 /// Tells a peer what endpoints said of their limits to this entry lately.
 fn tell_limits(entry: &Entry, to: SocketAddr, since: Millis) {
-    let news = entry.limits.borrow().news(since, entry.clock.now());
-    if !news.is_empty() {
-        entry.send_limits(to, &Message::Told(news));
+    let recent_observations = entry
+        .limits
+        .borrow()
+        .recent_observations(since, entry.clock.now());
+    if !recent_observations.is_empty() {
+        entry.send_limit_message(to, &Message::Told(recent_observations));
     }
 }
 
@@ -192,9 +195,9 @@
 /// Takes a datagram that is not of a round.
 fn hear_other(entry: &Rc<Entry>, from: SocketAddr, bytes: &[u8]) {
     if let Some(notices) = peers::decode_notices(bytes) {
-        entry.take_notices(&notices);
+        entry.apply_notices(&notices);
     } else if let Some(message) = limits::decode(bytes) {
-        entry.take_limits(from, message);
+        entry.handle_limit_message(from, message);
     } else {
         tracing::debug!(%from, "datagram is not one of ours");
     }
@@ -232,12 +235,12 @@
         echo: book.echo(tell.to),
         version: entry.version(),
         proof_age_ms: entry.freshness().age(now).map(|age| age.0),
-        revision: entry.listed_up_to(),
+        revision: entry.list_revision(),
         changes_after: entry.changes_after(),
-        catalog_revision: entry.catalog_up_to(),
-        leaving: entry.life() != Life::Serving,
+        catalog_revision: entry.catalog_revision(),
+        leaving: entry.process_state() != ProcessState::Serving,
         watches: entry.is_watching(),
-        reads_large: entry.is_excused(),
+        reads_large: entry.is_stale_proof_excused(),
         link_mbps: book.link_mbps(),
         zone: book.zone(),
         zone_entries: book.zone_entries(now),
@@ -257,10 +260,10 @@
         WorkScope::Nothing => Work::default(),
     };
     let directory = entry.directory();
-    let accounts = entry.accounts();
-    let all = accounts
+    let endpoint_states = entry.endpoint_states();
+    let all = endpoint_states
         .iter()
-        .map(|(key, account)| (key, of(&account.load)));
+        .map(|(key, endpoint_state)| (key, of(&endpoint_state.load)));
     all.filter(|(_, work)| !work.is_at_rest())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
@@ -276,14 +279,14 @@
         entry.log_peer(from, peers);
     }
     if hello.version <= entry.version() {
-        entry.catalog_known_up_to(hello.catalog_revision);
+        entry.confirm_catalog_at(hello.catalog_revision);
     }
     if let (Some(asked), Some(age)) = (heard.echoed_sent_at, hello.proof_age_ms) {
         if hello.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
     }
-    entry.peer_has_version(hello.version);
+    entry.note_peer_catalog_version(hello.version);
     if hello.version > entry.version() && entry.begin_fetch(Fetch::Catalog) {
         actix_rt::spawn(fetch::catalog(Rc::clone(entry), from));
     }
@@ -291,7 +294,7 @@
     if has_changes && entry.begin_fetch(Fetch::Changes) {
         actix_rt::spawn(fetch::changes(Rc::clone(entry), from));
     }
-    entry.peer_applied(hello.revision);
+    entry.note_peer_list_revision(hello.revision);
     take_work(entry, hello, now);
     take_placements(entry, hello, now);
     heard.is_new
@@ -307,12 +310,12 @@
     };
     let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
     let directory = entry.directory();
-    let mut accounts = entry.accounts_mut();
-    for (key, account) in accounts.iter_mut() {
+    let mut endpoint_states = entry.endpoint_states_mut();
+    for (key, endpoint_state) in endpoint_states.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| told.get(&digest)) {
-            Some(work) => account.load.told(teller, *work, lasts, now),
-            None => account.load.told_at_rest(teller, now),
+            Some(work) => endpoint_state.load.told(teller, *work, lasts, now),
+            None => endpoint_state.load.told_at_rest(teller, now),
         }
     }
 }
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -7,7 +7,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::RefusalReason;
 use crate::direct::dialect::ErrorResponse;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
@@ -27,7 +27,7 @@
         Err(error) => return refuse::write(entry, answerer, error, None).await,
     };
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
-    if entry.life() == Life::Stopping {
+    if entry.process_state() == ProcessState::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
         let error = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
         return refuse::write(entry, answerer, error, Some(&parsed)).await;
--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -13,7 +13,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::CallerLimits;
 use crate::direct::dialect::ErrorResponse;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 
 /// Free space in the read buffer before each read, in bytes.
 const READ_BUFFER_BYTES: usize = 4 << 10;
@@ -101,14 +101,14 @@
         entry: &Entry,
         limits: CallerLimits,
     ) -> Result<(), RequestReadError> {
-        let mut life = entry.watch_life();
+        let mut process_state = entry.watch_process_state();
         tokio::select! {
             biased;
             read = timeout(limits.idle_time.duration(), self.read()) => match read {
                 Ok(read) => read,
                 Err(_) => Err(RequestReadError::Closed),
             },
-            _ = life.wait_for(|life| *life == Life::Stopping) => Err(RequestReadError::Closed),
+            _ = process_state.wait_for(|process_state| *process_state == ProcessState::Stopping) => Err(RequestReadError::Closed),
         }
     }
 
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -49,7 +49,7 @@
         };
         let free = self.free_endpoints();
         if free > 0 {
-            self.entry.gauges.refused_with_room(&self.pool);
+            self.entry.metrics.refused_with_room(&self.pool);
         }
         self.note_nothing(why);
         let urgency = self.route().priority;
@@ -67,7 +67,7 @@
             _ => "not_run",
         };
         self.entry
-            .gauges
+            .metrics
             .request(&self.pool, Some(urgency), outcome);
         let refusal = ErrorResponse::NotRun(self.come_back(why));
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
@@ -125,10 +125,11 @@
     fn free_endpoints(&self) -> usize {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
-        let accounts = self.entry.accounts();
+        let endpoint_states = self.entry.endpoint_states();
         let is_free = |key: EndpointKey, slots: u32| {
-            let account = accounts.get(key);
-            let has_room = account.is_some_and(|account| account.load.present(now) < slots);
+            let endpoint_state = endpoint_states.get(key);
+            let has_room = endpoint_state
+                .is_some_and(|endpoint_state| endpoint_state.load.present(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
         let open = directory.available_in_pool(&self.pool, now);
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -12,7 +12,7 @@
 use crate::direct::caller;
 use crate::direct::decision::DecisionLog;
 use crate::direct::dialect::Dialect;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::gossip;
 use crate::direct::ready;
 use crate::direct::settings::DirectSettings;
@@ -136,13 +136,13 @@
     loop {
         sleep(HOUSEKEEPING_INTERVAL).await;
         if let Some(time) = entry.clock.look() {
-            entry.resumed(time);
+            entry.handle_resume(time);
         }
         entry.expire();
         rounds += 1;
         if rounds % ROUNDS_PER_SECOND == 0 {
             entry.log.next_second();
-            entry.set_gauges();
+            entry.update_metrics();
         }
     }
 }
@@ -156,8 +156,8 @@
     let mut last_read = None;
     loop {
         tokio::select! {
-            _ = term.recv() => entry.stop("SIGTERM"),
-            _ = int.recv() => entry.stop("SIGINT"),
+            _ = term.recv() => entry.begin_stop("SIGTERM"),
+            _ = int.recv() => entry.begin_stop("SIGINT"),
             _ = hup.recv() => reload(&entry, path.as_deref(), &mut last_read),
             () = sleep(RELOAD_POLL_INTERVAL) => reload(&entry, path.as_deref(), &mut last_read),
         }
@@ -200,15 +200,15 @@
 /// Resolves when a planned stop has ended: after the load balancer has stopped sending connections,
 /// once no request is in flight or the time to stop is over.
 async fn wait_for_end(entry: &Rc<Entry>) {
-    let mut life = entry.watch_life();
-    while *life.borrow_and_update() == Life::Serving {
-        if life.changed().await.is_err() {
+    let mut process_state = entry.watch_process_state();
+    while *process_state.borrow_and_update() == ProcessState::Serving {
+        if process_state.changed().await.is_err() {
             return;
         }
     }
     let stop_started = entry.clock.now();
     entry.clock.sleep_until(stop_started + LINGER_TIME).await;
-    entry.end_work();
+    entry.stop_accepting();
     let grace = entry.settings.borrow().bounds.stop_grace_ms;
     let end = stop_started + Millis((grace as f64 * STOP_GRACE_FRACTION) as u64);
     while entry.in_flight() > 0 && entry.clock.now() < end {
--- a/src/direct/progress.rs
+++ b/src/direct/progress.rs
@@ -56,6 +56,6 @@
             total_ms: (now - incoming.received_at).0,
         };
         entry.log.request(&self.id, ended);
-        entry.gauges.request(&self.pool, self.urgency, how.label());
+        entry.metrics.request(&self.pool, self.urgency, how.label());
     }
 }
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -6,7 +6,7 @@
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{Decision, RefusalReason};
 use crate::direct::dialect::{ErrorResponse, ParsedRequest};
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::intake::IncomingRequest;
 use crate::direct::resolve::Denied;
 
@@ -40,7 +40,7 @@
     let head = entry
         .dialect
         .error_response(refusal, ask.map(|ask| &ask.id));
-    let close = entry.life() != Life::Serving;
+    let close = entry.process_state() != ProcessState::Serving;
     let written = answerer.send_response(head, Bytes::new(), close).await;
     written.is_ok() && answerer.keeps_connection()
 }
