--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -151,14 +151,14 @@
     pub fn apply(&mut self, change: Change, now: Millis) -> Option<EndpointKey> {
         match change {
             Change::Put(listed) => {
-                let gone = self.put(listed, now);
+                let removed_key = self.put(listed, now);
                 self.mark_displaced();
-                gone
+                removed_key
             }
             Change::Removed { id, revision } => {
-                let gone = self.entry_removed(&id, revision, now);
+                let removed_key = self.entry_removed(&id, revision, now);
                 self.mark_displaced();
-                gone
+                removed_key
             }
             Change::Cordoned(cordon) => {
                 self.cordons.cordon(cordon);
@@ -185,9 +185,9 @@
     ) -> Vec<EndpointKey> {
         let all = all.into();
         let listed_ids: HashSet<String> = all.endpoints.iter().map(|l| l.id.clone()).collect();
-        let mut gone = Vec::new();
+        let mut removed_keys = Vec::new();
         for listed in all.endpoints {
-            gone.extend(self.put(listed, now));
+            removed_keys.extend(self.put(listed, now));
         }
         let missing: Vec<String> = self
             .by_id
@@ -195,11 +195,11 @@
             .filter(|id| !listed_ids.contains(*id))
             .cloned()
             .collect();
-        let left = missing.iter();
-        gone.extend(left.filter_map(|id| self.entry_removed(id, revision, now)));
+        let missing_ids = missing.iter();
+        removed_keys.extend(missing_ids.filter_map(|id| self.entry_removed(id, revision, now)));
         self.mark_displaced();
         self.replace_cordons(all.cordons, revision, now);
-        gone
+        removed_keys
     }
 
     /// Changes that lead from a list that is complete up to `before` to the cordons in force at
