--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -65,7 +65,7 @@
     wait_for_end(&entry).await;
     entry.log_process(
         "ended",
-        "nothing is in flight, or the time to stop was over",
+        "no requests are in flight, or the time to stop is over",
     );
     sleep(FLUSH_TIME).await;
     supervisor.close();
@@ -172,7 +172,7 @@
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(err) => {
-            tracing::warn!(%err, path = %path.display(), "settings could not be read again");
+            tracing::warn!(%err, path = %path.display(), "settings file could not be read");
             return;
         }
     };
