--- a/src/direct/explain.rs
+++ b/src/direct/explain.rs
@@ -111,7 +111,8 @@
     }
 }
 
-/// Whether a line reports that no endpoint accepted a request.
+/// Whether a line reports that a request was refused because no endpoint was available: none was
+/// reachable, or all asked to back off or were at their rate limit.
 fn found_no_endpoint(line: &LogLine) -> bool {
     match &line.decision {
         Decision::Refused { why, .. } => matches!(
