--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -43,7 +43,7 @@
 
 impl EndpointStatus {
     /// Whether an endpoint of this status accepts new requests.
-    const fn accepts_work(self) -> bool {
+    const fn is_accepting(self) -> bool {
         match self {
             Self::Ready | Self::Lapsed(_) => true,
             Self::Draining | Self::Displaced => false,
@@ -287,8 +287,8 @@
     }
 
     /// Whether an endpoint may be sent new requests now; false once it has been removed.
-    pub fn takes_work(&self, key: EndpointKey, now: Millis) -> bool {
-        self.get(key).is_some_and(|e| self.accepts_work(e, now))
+    pub fn accepts_requests(&self, key: EndpointKey, now: Millis) -> bool {
+        self.get(key).is_some_and(|e| self.is_accepting(e, now))
     }
 
     /// Records what an endpoint announced in a response; a requested back-off is limited to
@@ -325,7 +325,7 @@
         now: Millis,
     ) -> impl Iterator<Item = (EndpointKey, &'a Endpoint)> + 'a {
         let all = self.endpoints.iter();
-        all.filter(move |(_, e)| e.listed.pool == pool && self.accepts_work(e, now))
+        all.filter(move |(_, e)| e.listed.pool == pool && self.is_accepting(e, now))
     }
 
     /// Earliest end of a back-off that an endpoint of the pool has asked for, among those that
@@ -334,7 +334,7 @@
         let of_pool = self.endpoints.values().filter(|e| e.listed.pool == pool);
         let backing_off =
             of_pool.filter(|e| e.announced.decline_reason(now) == Some(DeclineReason::Rests));
-        let backing_off = backing_off.filter(|e| self.accepts_work(e, e.announced.rests_until));
+        let backing_off = backing_off.filter(|e| self.is_accepting(e, e.announced.rests_until));
         backing_off.map(|e| e.announced.rests_until).min()
     }
 
@@ -376,9 +376,9 @@
 
     /// Whether an endpoint accepts new requests according to both the list and its own
     /// announcements, and its availability zone is not cordoned.
-    fn accepts_work(&self, endpoint: &Endpoint, now: Millis) -> bool {
+    fn is_accepting(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.decline_reason(now).is_none();
-        is_willing && endpoint.status.accepts_work() && !self.cordons.holds(&endpoint.listed.zone)
+        is_willing && endpoint.status.is_accepting() && !self.cordons.holds(&endpoint.listed.zone)
     }
 
     /// Notes that the endpoints of a zone that was uncordoned may have to warm up.
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -112,7 +112,7 @@
             .map(|endpoint_state| &endpoint_state.recent_sends);
         let allows = |share| sends.is_some_and(|sends| sends.allows(share, now));
         let may_run = self.may_run_at(endpoint, &self.entry.settings.borrow());
-        directory.takes_work(key, now) && may_run && share.is_none_or(allows)
+        directory.accepts_requests(key, now) && may_run && share.is_none_or(allows)
     }
 
     /// Whether an endpoint lies where requests of this route and team may run.
--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -53,7 +53,7 @@
         };
         let has_events = self.position.get().last_event.is_some();
         let now = self.entry.clock.now();
-        if !has_events || self.takes_over || !self.entry.directory().takes_work(copy, now) {
+        if !has_events || self.takes_over || !self.entry.directory().accepts_requests(copy, now) {
             return false;
         }
         if !self.is_gone().await {
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -171,7 +171,9 @@
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
         self.log_placed(choice, &endpoint.listed.id, now);
-        let copy = self.copy.filter(|key| directory.takes_work(*key, now));
+        let copy = self
+            .copy
+            .filter(|key| directory.accepts_requests(*key, now));
         let copy = copy.and_then(|key| directory.get(key));
         let copy = copy.map(|e| e.listed.address);
         let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -46,24 +46,24 @@
     directory
 }
 
-fn takes_work(directory: &Directory, now: u64) -> bool {
+fn accepts_requests(directory: &Directory, now: u64) -> bool {
     let key = directory.key("a");
-    key.is_some_and(|key| directory.takes_work(key, Millis(now)))
+    key.is_some_and(|key| directory.accepts_requests(key, Millis(now)))
 }
 
 #[test]
 fn leaving_life() {
     let mut directory = announced(Some(100), LEAVES);
-    assert!(!takes_work(&directory, 0));
+    assert!(!accepts_requests(&directory, 0));
     directory.apply(Change::Put(life(Some(100), 2)), Millis(10));
-    assert!(!takes_work(&directory, 10), "another entry of it");
+    assert!(!accepts_requests(&directory, 10), "another entry of it");
     directory.replace(vec![life(Some(100), 2)], 3, Millis(20));
-    assert!(!takes_work(&directory, 20), "a whole listing");
+    assert!(!accepts_requests(&directory, 20), "a whole listing");
     directory.apply(removed(4), Millis(30));
     directory.apply(Change::Put(life(Some(100), 5)), Millis(40));
-    assert!(!takes_work(&directory, 40), "its entry went and came");
+    assert!(!accepts_requests(&directory, 40), "its entry went and came");
     directory.apply(Change::Put(life(Some(200), 6)), Millis(50));
-    assert!(takes_work(&directory, 50), "another life");
+    assert!(accepts_requests(&directory, 50), "another life");
 }
 
 /// Whoever says that it leaves does not get the grace of an entry that lapsed while the list was away.
@@ -75,20 +75,23 @@
     let mut directory = announced(None, rest(60_000));
     directory.list_unavailable();
     assert!(directory.apply(removed(2), Millis(10)).is_none());
-    assert!(!takes_work(&directory, 20), "lapsed, and resting");
+    assert!(!accepts_requests(&directory, 20), "lapsed, and resting");
 }
 
 #[test]
 fn resting_life() {
     let mut directory = announced(Some(100), rest(10_000));
-    assert!(!takes_work(&directory, 9_999));
-    assert!(takes_work(&directory, 10_000));
+    assert!(!accepts_requests(&directory, 9_999));
+    assert!(accepts_requests(&directory, 10_000));
     let gone = directory.apply(removed(2), Millis(100) + LAPSE_GRACE);
     assert!(gone.is_some());
     directory.apply(Change::Put(life(Some(100), 3)), Millis(5_000));
-    assert!(!takes_work(&directory, 5_000), "its entry went and came");
+    assert!(
+        !accepts_requests(&directory, 5_000),
+        "its entry went and came"
+    );
     directory.apply(Change::Put(life(Some(200), 4)), Millis(6_000));
-    assert!(takes_work(&directory, 6_000), "another life");
+    assert!(accepts_requests(&directory, 6_000), "another life");
 }
 
 #[test]
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -43,7 +43,7 @@
     };
     directory.apply(Change::Put(draining), Millis(10));
     let key = directory.key("a").unwrap();
-    assert!(!directory.takes_work(key, Millis(100)));
+    assert!(!directory.accepts_requests(key, Millis(100)));
     assert_eq!(directory.available_in_pool("pool", Millis(100)).count(), 0);
 }
 
@@ -53,7 +53,7 @@
     directory.list_unavailable();
     assert!(directory.apply(removed("a", 2), Millis(100)).is_none());
     let key = directory.key("a").unwrap();
-    assert!(directory.takes_work(key, Millis(100)));
+    assert!(directory.accepts_requests(key, Millis(100)));
     // The grace starts when the list is available again, however long the outage was.
     assert!(directory.expire(Millis(60_000)).is_empty());
     directory.list_available(Millis(60_000));
@@ -135,12 +135,12 @@
     directory.list_unavailable();
     assert_eq!(directory.apply(removed("a", 2), Millis(100)), None);
     assert!(
-        directory.takes_work(key, Millis(100)),
+        directory.accepts_requests(key, Millis(100)),
         "in use during the outage"
     );
     directory.apply(Change::Put(listed("b", 3)), Millis(200));
     assert_eq!(status(&directory, "a"), Some(EndpointStatus::Displaced));
-    assert!(!directory.takes_work(key, Millis(200)));
+    assert!(!directory.accepts_requests(key, Millis(200)));
     directory.list_available(Millis(300));
     assert_eq!(directory.expire(Millis(300)), [key]);
 }
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -37,7 +37,7 @@
     assert_eq!(gone, Some(before));
     assert_ne!(key(&directory), before);
     assert!(
-        !directory.takes_work(before, Millis(100)),
+        !directory.accepts_requests(before, Millis(100)),
         "checked when a request is sent"
     );
 }
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -27,8 +27,8 @@
     directory
 }
 
-fn takes_work(directory: &Directory, id: &str) -> bool {
-    directory.takes_work(directory.key(id).unwrap(), Millis(100))
+fn accepts_requests(directory: &Directory, id: &str) -> bool {
+    directory.accepts_requests(directory.key(id).unwrap(), Millis(100))
 }
 
 #[test]
@@ -36,13 +36,13 @@
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     assert!(
-        !takes_work(&directory, "a"),
+        !accepts_requests(&directory, "a"),
         "checked when a request is sent"
     );
-    assert!(takes_work(&directory, "b"));
+    assert!(accepts_requests(&directory, "b"));
     assert_eq!(directory.available_in_pool("pool", Millis(100)).count(), 1);
     directory.apply(Change::Uncordoned(cordon(4)), Millis(20));
-    assert!(takes_work(&directory, "a"));
+    assert!(accepts_requests(&directory, "a"));
 }
 
 /// An endpoint that joins a cordoned zone gets nothing either.
@@ -51,7 +51,7 @@
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     directory.apply(Change::Put(listed("c", 4)), Millis(20));
-    assert!(!takes_work(&directory, "c"));
+    assert!(!accepts_requests(&directory, "c"));
 }
 
 /// What operators took back may be cold, whatever its entry said before.
