--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::sleep;
 
-use super::prove::ask_snapshot;
+use super::prove::read_snapshot;
 use super::{finish, pause, Arriving, CallError, Document, Reading, StoreClient};
 use crate::clock::Millis;
 use crate::direct::dialect::{StoreUpdate, WatchResult, WatchScope};
@@ -75,7 +75,7 @@
     mut changes: Vec<StoreUpdate>,
     current: Revision,
 ) -> Result<WatchResult, CallError> {
-    let snapshot = ask_snapshot(entry, client).await?;
+    let snapshot = read_snapshot(entry, client).await?;
     let before = entry.listed_up_to();
     let cordons = snapshot.cordons.unwrap_or_default();
     let directory = entry.directory();
