--- a/src/direct/sync/client.rs
+++ b/src/direct/sync/client.rs
@@ -1,7 +1,7 @@
-//! A client of the store; peers are asked through it as well.
+//! An HTTP client of the store, which is also used to read from peers.
 //!
-//! An answer may be large and its link narrow, so a call has no fixed time in all: its head must
-//! come in time, and its body must go on arriving.
+//! A response may be large and its link slow, so a call has no fixed time limit as a whole: the
+//! head must arrive in time, and the body must keep arriving.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,21 +15,22 @@
 use crate::direct::dialect::InvalidResponse;
 
 /// Longest body that is read, in bytes.
-const MOST_BODY: usize = 16 << 20;
-/// Silence within a body after which it is given up: the store and peers send what they have in one
-/// go, and three retransmissions of a packet take less.
-const STALL: Duration = Duration::from_millis(900);
-/// Longest time for a body that goes on arriving: [`MOST_BODY`] over a link of 10 Mbit/s, twice.
-const LONGEST: Duration = Duration::from_secs(30);
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Longest pause within a body before the read is given up. The store and peers send what they have
+/// in one go, and three retransmissions of a packet take less.
+const STALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest time for a body that keeps arriving: twice what [`MAX_BODY_BYTES`] take over a link of
+/// 10 Mbit/s.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A call to the store that brought nothing.
+/// Why a call to the store or to a peer failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// The connection failed.
+    /// The connection could not be opened, or failed.
     Connection(ExchangeError),
-    /// No answer in time, or it stopped arriving.
+    /// The head did not arrive in time, or the body stopped arriving.
     TimedOut,
-    /// The answer can't be used.
+    /// The response is not in a usable form.
     InvalidResponse(InvalidResponse),
 }
 
@@ -43,68 +44,72 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
-pub struct Arriving(Reply);
+pub struct PendingResponse(Reply);
 
-/// A client of the store that keeps one connection.
+/// A client of one store or peer that keeps one connection for the next call.
 #[derive(Debug)]
 pub struct StoreClient {
     address: SocketAddr,
-    /// The connection, while no call is under way on it.
-    kept: RefCell<Option<Connection>>,
-    /// Bytes of the last answer's body that have arrived.
-    received: Cell<u64>,
+    /// The connection, while no call is in progress on it.
+    idle: RefCell<Option<Connection>>,
+    /// Bytes of the last response's body that have arrived.
+    received_bytes: Cell<u64>,
 }
 
 impl StoreClient {
-    /// A client without a connection.
+    /// Creates a client that has no connection yet.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            kept: RefCell::default(),
-            received: Cell::default(),
+            idle: RefCell::default(),
+            received_bytes: Cell::default(),
         }
     }
 
-    /// Bytes of the last answer's body that arrived, also where it did not end in time.
-    pub fn received(&self) -> u64 {
-        self.received.get()
+    /// Bytes of the last response's body that have arrived, also if it was not complete in time.
+    pub fn received_bytes(&self) -> u64 {
+        self.received_bytes.get()
     }
 
-    /// Makes one call, whose answer begins within `time`. A connection whose answer was lost is never
-    /// used again.
+    /// Makes one call; the head of the response must arrive within `head_timeout`. Returns the
+    /// status and the body. A connection on which a response was lost is never used again.
     pub async fn call(
         &self,
         head: RequestHead,
-        time: Duration,
+        head_timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let arriving = self.begin(head, time).await?;
-        self.finish(arriving, |_| ()).await
+        let pending = self.begin(head, head_timeout).await?;
+        self.finish(pending, |_| ()).await
     }
 
-    /// Sends a request and waits for the head of its answer.
-    pub async fn begin(&self, head: RequestHead, time: Duration) -> Result<Arriving, CallError> {
-        self.received.set(0);
-        let begun = timeout(time, self.exchange(head)).await;
-        let reply = begun.map_err(|_| CallError::TimedOut)?;
-        reply.map(Arriving).map_err(CallError::Connection)
+    /// Sends a request and waits at most `head_timeout` for the head of its response.
+    pub async fn begin(
+        &self,
+        head: RequestHead,
+        head_timeout: Duration,
+    ) -> Result<PendingResponse, CallError> {
+        self.received_bytes.set(0);
+        let response = timeout(head_timeout, self.exchange(head)).await;
+        let reply = response.map_err(|_| CallError::TimedOut)?;
+        reply.map(PendingResponse).map_err(CallError::Connection)
     }
 
-    /// Reads the rest of an answer as long as it goes on arriving; `arrived` hears how
-    /// many bytes are there, after each piece.
+    /// Reads the rest of a response for as long as it keeps arriving. `on_progress` is called after
+    /// each piece with the number of bytes that have arrived.
     pub async fn finish(
         &self,
-        arriving: Arriving,
-        arrived: impl Fn(u64),
+        pending: PendingResponse,
+        on_progress: impl Fn(u64),
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let reading = timeout(LONGEST, self.read_body(arriving.0, arrived));
+        let reading = timeout(BODY_TIMEOUT, self.read_body(pending.0, on_progress));
         reading.await.map_err(|_| CallError::TimedOut)?
     }
 
     async fn exchange(&self, head: RequestHead) -> Result<Reply, ExchangeError> {
-        let kept = self.kept.borrow_mut().take().filter(Connection::is_idle);
-        let channel = match kept {
+        let idle = self.idle.borrow_mut().take().filter(Connection::is_idle);
+        let channel = match idle {
             Some(channel) => channel,
             None => Connection::connect(self.address).await?,
         };
@@ -114,24 +119,24 @@
     async fn read_body(
         &self,
         mut reply: Reply,
-        arrived: impl Fn(u64),
+        on_progress: impl Fn(u64),
     ) -> Result<(StatusCode, Bytes), CallError> {
         let mut body = BytesMut::new();
         loop {
-            let piece = timeout(STALL, reply.chunk()).await;
-            let piece = piece.map_err(|_| CallError::TimedOut)?;
-            let Some(piece) = piece.map_err(CallError::Connection)? else {
+            let chunk = timeout(STALL_TIMEOUT, reply.chunk()).await;
+            let chunk = chunk.map_err(|_| CallError::TimedOut)?;
+            let Some(chunk) = chunk.map_err(CallError::Connection)? else {
                 break;
             };
-            if body.len() + piece.len() > MOST_BODY {
+            if body.len() + chunk.len() > MAX_BODY_BYTES {
                 return Err(CallError::Connection(ExchangeError::Lost));
             }
-            body.extend_from_slice(&piece);
-            self.received.set(body.len() as u64);
-            arrived(body.len() as u64);
+            body.extend_from_slice(&chunk);
+            self.received_bytes.set(body.len() as u64);
+            on_progress(body.len() as u64);
         }
         let status = reply.head.status;
-        *self.kept.borrow_mut() = reply.into_connection();
+        *self.idle.borrow_mut() = reply.into_connection();
         Ok((status, body.freeze()))
     }
 }
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -19,7 +19,7 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-pub use self::client::{Arriving, CallError, StoreClient};
+pub use self::client::{CallError, PendingResponse, StoreClient};
 pub use self::follow::follow;
 pub use self::prove::{prove, time_until_proof_due};
 pub use self::reading::{Document, Reading};
@@ -58,7 +58,7 @@
     entry: &Entry,
     client: &StoreClient,
     reading: Reading,
-    begun: Result<Arriving, CallError>,
+    begun: Result<PendingResponse, CallError>,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let arrived = |bytes| {
         if bytes >= LARGE {
--- a/src/direct/sync/reading.rs
+++ b/src/direct/sync/reading.rs
@@ -60,7 +60,7 @@
 
     /// It ended; `failure` says how it failed.
     pub fn end(self, entry: &Entry, client: &StoreClient, failure: Option<String>) {
-        let bytes = client.received();
+        let bytes = client.received_bytes();
         let source = if self.peer.is_some() { "peer" } else { "store" };
         entry.gauges.read(self.document.label(), source, bytes);
         if failure.is_none() && bytes < BULK {
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::prove::read_snapshot;
-use super::{finish, pause, Arriving, CallError, Document, Reading, StoreClient};
+use super::{finish, pause, CallError, Document, PendingResponse, Reading, StoreClient};
 use crate::clock::Millis;
 use crate::direct::dialect::{StoreUpdate, WatchResult, WatchScope};
 use crate::direct::directory::Revision;
@@ -131,7 +131,7 @@
     scope: WatchScope,
     after: Revision,
     wait: Millis,
-) -> Result<Arriving, CallError> {
+) -> Result<PendingResponse, CallError> {
     let head = entry.dialect.watch_query(scope, after, wait);
     client.begin(head, wait.duration() + WATCH_SLACK).await
 }
@@ -140,7 +140,7 @@
 async fn read(
     entry: &Entry,
     client: &StoreClient,
-    begun: Result<Arriving, CallError>,
+    begun: Result<PendingResponse, CallError>,
 ) -> Result<WatchResult, CallError> {
     let reading = Reading::begin(entry, Document::Changes, None);
     let (status, body) = finish(entry, client, reading, begun).await?;
