--- a/src/direct/fetch.rs
+++ b/src/direct/fetch.rs
@@ -12,7 +12,7 @@
 use crate::direct::changes;
 use crate::direct::entry::{Entry, Fetch};
 use crate::direct::ready;
-use crate::direct::sync::{CallError, Document, Reading, StoreClient};
+use crate::direct::sync::{CallError, Document, OngoingRead, StoreClient};
 use crate::direct::versions;
 
 /// Time for a peer's answer to begin.
@@ -91,7 +91,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let address = SocketAddr::new(peer.ip(), entry.settings.borrow().admin.port());
     let client = StoreClient::new(address);
-    let reading = Reading::begin(entry, document, Some(peer));
+    let reading = OngoingRead::begin(entry, document, Some(peer));
     let answer = client.call(query, FETCH_TIME).await;
     let failure = match &answer {
         Ok((status, _)) if !status.is_success() => Some(format!("status {}", status.as_u16())),
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -22,7 +22,7 @@
 pub use self::client::{CallError, PendingResponse, StoreClient};
 pub use self::follow::follow;
 pub use self::prove::{prove, time_until_proof_due};
-pub use self::reading::{Document, Reading};
+pub use self::reading::{Document, OngoingRead};
 use crate::clock::Millis;
 use crate::direct::entry::Entry;
 
@@ -48,7 +48,7 @@
     head: RequestHead,
     time: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let reading = Reading::begin(entry, document, None);
+    let reading = OngoingRead::begin(entry, document, None);
     let begun = client.begin(head, time).await;
     finish(entry, client, reading, begun).await
 }
@@ -57,7 +57,7 @@
 async fn finish(
     entry: &Entry,
     client: &StoreClient,
-    reading: Reading,
+    reading: OngoingRead,
     begun: Result<PendingResponse, CallError>,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let arrived = |bytes| {
--- a/src/direct/sync/reading.rs
+++ b/src/direct/sync/reading.rs
@@ -1,5 +1,5 @@
-//! What was read from the store and from peers, for logs and metrics: which document, how the read
-//! ended, how many bytes had come and how long it took.
+//! Records of reads from the store and from peers, for logs and metrics: which document, how the
+//! read ended, how many bytes arrived and how long it took.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,19 @@
 use crate::direct::decision::Decision;
 use crate::direct::entry::Entry;
 
-/// Bytes from which on a read is told although it went well: half a second of a link's share for
-/// control (28 KB/s).
-const BULK: u64 = 14 << 10;
+/// Bytes from which on a successful read is logged as well: half a second of a link's share for
+/// control traffic (28 KB/s).
+const MIN_LOGGED_BYTES: u64 = 14 << 10;
 
-/// What is read.
+/// The document that is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Document {
-    /// A page of the list of endpoints.
+    /// The list of endpoints, or a page of it.
     List,
     /// The configuration.
     Catalog,
-    /// Changes, by a watch of the store or from a peer.
+    /// Changes, from a watch of the store or from a peer.
     Changes,
     /// The store's revision.
     Revision,
@@ -39,31 +39,31 @@
     }
 }
 
-/// One read that is under way.
+/// One read in progress.
 #[derive(Debug, Clone, Copy)]
-pub struct Reading {
+pub struct OngoingRead {
     document: Document,
-    /// The peer that is asked; `None` for the store.
+    /// The peer that is read from; `None` for the store.
     peer: Option<SocketAddr>,
-    begun: Millis,
+    begun_at: Millis,
 }
 
-impl Reading {
-    /// A read begins.
+impl OngoingRead {
+    /// Notes the start of a read.
     pub fn begin(entry: &Entry, document: Document, peer: Option<SocketAddr>) -> Self {
         Self {
             document,
             peer,
-            begun: entry.clock.now(),
+            begun_at: entry.clock.now(),
         }
     }
 
-    /// It ended; `failure` says how it failed.
+    /// Counts the read that has ended, and logs it if it was large or failed; `failure` says how.
     pub fn end(self, entry: &Entry, client: &StoreClient, failure: Option<String>) {
         let bytes = client.received_bytes();
         let source = if self.peer.is_some() { "peer" } else { "store" };
         entry.gauges.read(self.document.label(), source, bytes);
-        if failure.is_none() && bytes < BULK {
+        if failure.is_none() && bytes < MIN_LOGGED_BYTES {
             return;
         }
         entry.log.state_change(Decision::DocumentRead {
@@ -73,7 +73,7 @@
                 .map_or_else(|| source.into(), |peer| peer.to_string()),
             failure,
             bytes,
-            took_ms: (entry.clock.now() - self.begun).0,
+            took_ms: (entry.clock.now() - self.begun_at).0,
         });
     }
 }
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::prove::read_snapshot;
-use super::{finish, pause, CallError, Document, PendingResponse, Reading, StoreClient};
+use super::{finish, pause, CallError, Document, OngoingRead, PendingResponse, StoreClient};
 use crate::clock::Millis;
 use crate::direct::dialect::{StoreUpdate, WatchResult, WatchScope};
 use crate::direct::directory::Revision;
@@ -142,7 +142,7 @@
     client: &StoreClient,
     begun: Result<PendingResponse, CallError>,
 ) -> Result<WatchResult, CallError> {
-    let reading = Reading::begin(entry, Document::Changes, None);
+    let reading = OngoingRead::begin(entry, Document::Changes, None);
     let (status, body) = finish(entry, client, reading, begun).await?;
     let watched = entry.dialect.watched(status, &body);
     watched.map_err(CallError::InvalidResponse)
