--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use super::listing::read_all;
-use super::watch::{look, watch};
+use super::watch::{watch, watch_endpoints_once};
 use super::{retry_pause, StoreClient};
 use crate::clock::Millis;
 use crate::direct::entry::Entry;
@@ -68,7 +68,7 @@
     match woken(entry).await {
         Woken::Look => true,
         // The peers that watch don't tell what the store has.
-        Woken::Watch => look(entry, client).await,
+        Woken::Watch => watch_endpoints_once(entry, client).await,
         Woken::List => false,
     }
 }
--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::sleep;
 
-use super::watch::mind_endpoints;
+use super::watch::watch_endpoints_meanwhile;
 use super::{call, CallError, Document, StoreClient, CALL_TIME};
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::{Listing, Revision};
@@ -26,7 +26,7 @@
         biased;
         () = peers_bring_it(entry) => None,
         read = read_catalog(entry, client) => Some(read?),
-        never = mind_endpoints(entry) => match never {},
+        never = watch_endpoints_meanwhile(entry) => match never {},
     };
     if let Some(catalog) = read {
         if let Some(catalog) = catalog {
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-use super::watch::WATCH_LAG;
+use super::watch::MAX_WATCH_LAG;
 use super::{call, fleet_pause, CallError, Document, StoreClient, CALL_TIME, RETRY_PAUSE_MS};
 use crate::clock::Millis;
 use crate::direct::dialect::Snapshot;
@@ -110,7 +110,7 @@
 /// Has everything read again if the watch does not bring what the store has, unless a large
 /// response that may hold it is arriving.
 async fn list_if_behind(entry: &Entry, revision: Revision) {
-    sleep(WATCH_LAG).await;
+    sleep(MAX_WATCH_LAG).await;
     if entry.applied() < revision && !entry.reads_large() {
         entry.list_again.notify_one();
     }
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -1,6 +1,6 @@
 //! Watches of the store: for all changes, and for those of the list of endpoints alone.
 //!
-//! A watch tells of changes at once but its silence proves nothing (see [`super::prove()`]).
+//! A watch reports changes at once, but its silence proves nothing (see [`super::prove()`]).
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,60 +15,62 @@
 use crate::direct::directory::Revision;
 use crate::direct::entry::Entry;
 
-/// Longest wait of one watch; far below the store's own bound, so that a cut is noticed.
+/// Longest wait of one watch: far below the store's own limit, so that a cut connection is noticed.
 const WATCH_WAIT: Millis = Millis(20_000);
 /// Wait of a watch for changes that the store is known to have.
-const ONE_LOOK: Millis = Millis(200);
-/// Wait of a watch beside a large answer; most are over sooner.
-const MIND_WAIT: Millis = Millis(1_000);
-/// Time for a watch's answer beyond its wait.
-const WATCH_SLACK: Duration = Duration::from_millis(2_000);
-/// Pause after a watch that brought changes: what is written meanwhile comes with the next one, so
-/// that a burst of changes costs few calls. A change is applied this much later at worst, a third of
-/// the shortest bound on it.
-const GATHER: Duration = Duration::from_millis(600);
-/// Time after which what the store has and the watch did not bring is read by listing; longer
-/// than [`GATHER`].
-pub(super) const WATCH_LAG: Duration = Duration::from_millis(800);
-/// Time after which an answer that still arrives is taken for a large one, and the list is watched
-/// beside it: a tenth of the shortest bound on changes of the list.
-const LARGE_AFTER: Duration = Duration::from_millis(200);
+const SINGLE_WATCH_WAIT: Millis = Millis(200);
+/// Wait of a watch beside a large response; most of these arrive sooner.
+const SIDE_WATCH_WAIT: Millis = Millis(1_000);
+/// Time for the response of a watch to begin, beyond its wait.
+const WATCH_GRACE: Duration = Duration::from_millis(2_000);
+/// Pause after a watch that returned changes. What is written meanwhile comes with the next watch,
+/// so that a burst of changes costs few calls. A change is applied at most this much later, a third
+/// of the shortest bound on changes.
+const GATHER_PAUSE: Duration = Duration::from_millis(600);
+/// Time after which changes that the store has and the watch did not return are read by a listing;
+/// longer than [`GATHER_PAUSE`].
+pub(super) const MAX_WATCH_LAG: Duration = Duration::from_millis(800);
+/// Time after which a response that is still arriving is taken for a large one, and the list is
+/// watched beside it: a tenth of the shortest bound on changes of the list.
+const LARGE_RESPONSE_AFTER: Duration = Duration::from_millis(200);
 
-/// Watches everything once; false when everything is to be read anew.
+/// Watches everything once and applies the changes; false if everything is to be read again.
 pub(super) async fn watch(entry: &Rc<Entry>, client: &StoreClient) -> bool {
-    let begun = tokio::select! {
-        begun = begin(entry, client, WatchScope::All, entry.applied(), WATCH_WAIT) => begun,
+    let response = tokio::select! {
+        response = begin_watch(entry, client, WatchScope::All, entry.applied(), WATCH_WAIT) => response,
         () = entry.list_again.notified() => return false,
         () = entry.watch_again.notified() => return true,
     };
-    // What has begun to arrive is read to its end: asking again would begin at the first byte.
+    // A response that has begun to arrive is read to its end, since a new request would begin at
+    // the first byte.
     let watched = tokio::select! {
-        watched = read(entry, client, begun) => watched,
-        never = mind_endpoints(entry) => match never {},
+        watched = read_response(entry, client, response) => watched,
+        never = watch_endpoints_meanwhile(entry) => match never {},
     };
-    take(entry, WatchScope::All, watched).await
+    apply_result(entry, WatchScope::All, watched).await
 }
 
-/// Looks once for changes of the list that peers did not bring; false when everything is to be read
-/// anew.
-pub(super) async fn look(entry: &Rc<Entry>, client: &StoreClient) -> bool {
-    watch_endpoints(entry, client, ONE_LOOK).await
+/// Watches once for changes of the list that peers did not forward; false if everything is to be
+/// read again.
+pub(super) async fn watch_endpoints_once(entry: &Rc<Entry>, client: &StoreClient) -> bool {
+    watch_endpoints(entry, client, SINGLE_WATCH_WAIT).await
 }
 
-/// Watches the list of endpoints alone, once; false when that is to be read anew.
+/// Watches the list of endpoints alone, once; false if it is to be read again.
 async fn watch_endpoints(entry: &Rc<Entry>, client: &StoreClient, wait: Millis) -> bool {
     let after = entry.listed_up_to();
-    let begun = begin(entry, client, WatchScope::Endpoints, after, wait).await;
-    let watched = match read(entry, client, begun).await {
+    let response = begin_watch(entry, client, WatchScope::Endpoints, after, wait).await;
+    let watched = match read_response(entry, client, response).await {
         Ok(WatchResult::Changes(changes, current)) => {
             add_cordons(entry, client, changes, current).await
         }
         other => other,
     };
-    take(entry, WatchScope::Endpoints, watched).await
+    apply_result(entry, WatchScope::Endpoints, watched).await
 }
 
-/// Adds the cordons as they stand now to changes of the list of endpoints, whose watch does not bring them.
+/// Adds the cordons as they are now to changes of the list of endpoints, since a watch of the list
+/// does not return them.
 async fn add_cordons(
     entry: &Entry,
     client: &StoreClient,
@@ -84,22 +86,22 @@
     Ok(WatchResult::Changes(changes, current))
 }
 
-/// Keeps the list of endpoints up to date while a large answer arrives; never ends.
+/// Keeps the list of endpoints up to date while a large response arrives; never ends.
 ///
 /// An endpoint that leaves is then known within a second, however long the configuration takes: 3 s
 /// for 4 MB over 10 Mbit/s.
-pub(super) async fn mind_endpoints(entry: &Rc<Entry>) -> Infallible {
-    sleep(LARGE_AFTER).await;
+pub(super) async fn watch_endpoints_meanwhile(entry: &Rc<Entry>) -> Infallible {
+    sleep(LARGE_RESPONSE_AFTER).await;
     let client = StoreClient::new(entry.settings.borrow().store);
     loop {
-        if !watch_endpoints(entry, &client, MIND_WAIT).await {
+        if !watch_endpoints(entry, &client, SIDE_WATCH_WAIT).await {
             pause().await;
         }
     }
 }
 
-/// Takes what a watch brought; false when everything is to be read anew.
-async fn take(
+/// Applies what a watch returned; false if everything is to be read again.
+async fn apply_result(
     entry: &Rc<Entry>,
     scope: WatchScope,
     watched: Result<WatchResult, CallError>,
@@ -110,22 +112,22 @@
             let is_idle = changes.is_empty();
             apply(entry, scope, changes, current);
             if !is_idle {
-                sleep(GATHER).await;
+                sleep(GATHER_PAUSE).await;
             }
             true
         }
         Ok(WatchResult::HistoryGone) => false,
         Err(err) => {
-            // This alone does not mean that the store is away.
-            tracing::debug!(%err, "watch ended, reading everything anew");
+            // A failed watch alone does not mean that the store is unreachable.
+            tracing::debug!(%err, "watch failed, reading everything again");
             pause().await;
             false
         }
     }
 }
 
-/// Makes the call of a watch and waits until its answer begins.
-async fn begin(
+/// Sends the request of a watch and waits until its response begins.
+async fn begin_watch(
     entry: &Entry,
     client: &StoreClient,
     scope: WatchScope,
@@ -133,22 +135,22 @@
     wait: Millis,
 ) -> Result<PendingResponse, CallError> {
     let head = entry.dialect.watch_query(scope, after, wait);
-    client.begin(head, wait.duration() + WATCH_SLACK).await
+    client.begin(head, wait.duration() + WATCH_GRACE).await
 }
 
-/// Reads the answer of a watch.
-async fn read(
+/// Reads the response of a watch.
+async fn read_response(
     entry: &Entry,
     client: &StoreClient,
-    begun: Result<PendingResponse, CallError>,
+    response: Result<PendingResponse, CallError>,
 ) -> Result<WatchResult, CallError> {
     let reading = OngoingRead::begin(entry, Document::Changes, None);
-    let (status, body) = finish(entry, client, reading, begun).await?;
+    let (status, body) = finish(entry, client, reading, response).await?;
     let watched = entry.dialect.watched(status, &body);
     watched.map_err(CallError::InvalidResponse)
 }
 
-/// Applies all changes of a scope up to a revision.
+/// Applies the changes of a scope, which are complete up to the revision `current`.
 fn apply(entry: &Rc<Entry>, scope: WatchScope, written: Vec<StoreUpdate>, current: Revision) {
     let mut changes = Vec::new();
     for written in written {
