--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -1,4 +1,4 @@
-//! Keeping up with the store: by watching it, or by leaving that to peers.
+//! Keeping up with the store: by watching it, or by following the peers that do.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,16 +11,17 @@
 use crate::clock::Millis;
 use crate::direct::entry::Entry;
 
-/// Time between two looks at whether this entry is to watch the store itself.
-const ROLE_LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks of whether this entry is to watch the store itself.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after a start in which nobody watches: peers are found meanwhile.
-const FIND_PEERS: Millis = Millis(600);
-/// Time after a start in which only the first in line watch; the others hear of them meanwhile. Without
-/// both, 19 entries of one zone that started together began 48 watches in eight seconds.
-const LINE_UP: Millis = Millis(1_600);
+/// Time after a start in which nobody watches, while peers are being discovered.
+const DISCOVERY_TIME: Millis = Millis(600);
+/// Time after a start in which only the entries that rank first watch, while the others learn of
+/// them. Without this time and [`DISCOVERY_TIME`], 19 entries of one zone that started together
+/// began 48 watches in eight seconds.
+const FIRST_RANKED_ONLY: Millis = Millis(1_600);
 
-/// Keeps the configuration and the list of endpoints up to date.
+/// Keeps the configuration and the list of endpoints up to date; never returns.
 pub async fn follow(entry: Rc<Entry>) -> anyhow::Result<()> {
     let client = StoreClient::new(entry.settings.borrow().store);
     let started = entry.clock.now();
@@ -35,7 +36,7 @@
     }
 }
 
-/// Keeps up until something goes wrong; the caller then reads everything anew.
+/// Keeps up until something goes wrong; the caller then reads everything again.
 async fn keep_up(entry: &Rc<Entry>, client: &StoreClient, started: Millis) {
     loop {
         let should_watch = should_watch(entry, started);
@@ -57,37 +58,38 @@
     let now = entry.clock.now();
     let peers = entry.peers.borrow();
     match now - started {
-        age if age < FIND_PEERS => false,
-        age if age < LINE_UP => peers.ranks_as_watcher(now),
+        age if age < DISCOVERY_TIME => false,
+        age if age < FIRST_RANKED_ONLY => peers.ranks_as_watcher(now),
         _ => peers.should_watch(now),
     }
 }
 
-/// Leaves changes to the peers that watch, for a while; false when everything is to be read anew.
+/// Leaves changes to the peers that watch, until the next check of the role; false if everything is
+/// to be read again.
 async fn follow_peers(entry: &Rc<Entry>, client: &StoreClient) -> bool {
-    match woken(entry).await {
-        Woken::Look => true,
-        // The peers that watch don't tell what the store has.
-        Woken::Watch => watch_endpoints_once(entry, client).await,
-        Woken::List => false,
+    match wait_for_wake(entry).await {
+        WakeReason::CheckRole => true,
+        // The store has changes that the peers that watch have not forwarded.
+        WakeReason::WatchOnce => watch_endpoints_once(entry, client).await,
+        WakeReason::ReadAll => false,
     }
 }
 
 /// Why an entry that follows its peers was woken.
-enum Woken {
-    /// Its role may have changed.
-    Look,
-    /// The store has changes that peers did not bring.
-    Watch,
-    /// Everything is to be read anew.
-    List,
+enum WakeReason {
+    /// It is time to check whether it is to watch the store.
+    CheckRole,
+    /// The store has changes that peers did not forward.
+    WatchOnce,
+    /// Everything is to be read again.
+    ReadAll,
 }
 
-/// Waits until this entry is woken, or its role is to be looked at.
-async fn woken(entry: &Entry) -> Woken {
+/// Waits until this entry is woken, or its role is to be checked.
+async fn wait_for_wake(entry: &Entry) -> WakeReason {
     tokio::select! {
-        () = sleep(ROLE_LOOK) => Woken::Look,
-        () = entry.watch_again.notified() => Woken::Watch,
-        () = entry.list_again.notified() => Woken::List,
+        () = sleep(ROLE_CHECK_INTERVAL) => WakeReason::CheckRole,
+        () = entry.watch_again.notified() => WakeReason::WatchOnce,
+        () = entry.list_again.notified() => WakeReason::ReadAll,
     }
 }
