--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use super::watch::watch_endpoints_meanwhile;
-use super::{call, CallError, Document, StoreClient, CALL_TIME};
+use super::{call, CallError, Document, StoreClient, CALL_TIMEOUT};
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::{Listing, Revision};
 use crate::direct::entry::Entry;
@@ -55,7 +55,7 @@
     let mut first_revision = None;
     loop {
         let query = entry.dialect.page_query(next_page.as_deref());
-        let (status, body) = call(entry, client, Document::List, query, CALL_TIME).await?;
+        let (status, body) = call(entry, client, Document::List, query, CALL_TIMEOUT).await?;
         let page = entry.dialect.page(status, &body);
         let page = page.map_err(CallError::InvalidResponse)?;
         let list_revision = *first_revision.get_or_insert(page.current);
@@ -77,7 +77,7 @@
     client: &StoreClient,
 ) -> Result<Option<Box<Catalog>>, CallError> {
     let query = entry.dialect.catalog_query();
-    let (status, body) = call(entry, client, Document::Catalog, query, CALL_TIME).await?;
+    let (status, body) = call(entry, client, Document::Catalog, query, CALL_TIMEOUT).await?;
     let catalog = entry.dialect.catalog(status, &body);
     catalog.map_err(CallError::InvalidResponse)
 }
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -1,9 +1,11 @@
-//! Reading the configuration store: one watch for changes, and small reads that prove freshness.
+//! Synchronization with the configuration store: one watch for changes, and small reads that prove
+//! freshness.
 //!
-//! A few entries watch for all; the others take from them what their watches brought, and watch
+//! A few entries watch for all. The others take from them what their watches returned, and watch
 //! themselves as soon as these fall silent.
 //!
-//! A watch tells of changes at once but its silence proves nothing, so freshness is proven apart.
+//! A watch reports changes at once, but its silence proves nothing, so freshness is proven
+//! separately.
 
 mod client;
 mod follow;
@@ -26,47 +28,50 @@
 use crate::clock::Millis;
 use crate::direct::entry::Entry;
 
-/// Time for the answer to any other call to begin. The store answers in milliseconds, at its slowest in some hundred.
-const CALL_TIME: Duration = Duration::from_millis(900);
-/// Pause after a failed call, and the most of its random addition, in ms.
+/// Time for the response to begin, of any call other than a watch. The store answers within
+/// milliseconds, and within some hundred at its slowest.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause after a failed call in ms, to which a random time of up to as much is added.
 const RETRY_PAUSE_MS: u64 = 150;
 
-/// Calls a second that all entries together make while the store is away or turns them down. With pauses
-/// that don't grow with the fleet a large one would press upon the store for as long as it is away.
+/// Calls a second that all entries together make while the store is unreachable or rejects them.
+/// With pauses that don't grow with the fleet, a large one would overload the store for as long as
+/// it is away.
 const FLEET_CALLS_PER_S: u64 = 100;
-/// Longest pause between two calls: the store's return is noticed while lapsed endpoints are waited for.
-const LONGEST_PAUSE: Millis = Millis(2_000);
+/// Longest pause between two calls, so that the store's return is noticed while lapsed endpoints
+/// are still waited for.
+const MAX_PAUSE: Millis = Millis(2_000);
 
-/// Bytes from which on an answer counts as large: 50 ms of a link of 10 Mbit/s.
-const LARGE: u64 = 64 << 10;
+/// Bytes from which on a response counts as large: 50 ms of a link of 10 Mbit/s.
+const LARGE_RESPONSE_BYTES: u64 = 64 << 10;
 
 /// Makes one call for a document and counts it.
 async fn call(
     entry: &Entry,
     client: &StoreClient,
     document: Document,
-    head: RequestHead,
-    time: Duration,
+    request: RequestHead,
+    head_timeout: Duration,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let reading = OngoingRead::begin(entry, document, None);
-    let begun = client.begin(head, time).await;
-    finish(entry, client, reading, begun).await
+    let response = client.begin(request, head_timeout).await;
+    finish(entry, client, reading, response).await
 }
 
-/// Reads the answer that has begun, if it has, and counts the call.
+/// Reads the rest of a response if it has begun, and counts the call.
 async fn finish(
     entry: &Entry,
     client: &StoreClient,
     reading: OngoingRead,
-    begun: Result<PendingResponse, CallError>,
+    response: Result<PendingResponse, CallError>,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let arrived = |bytes| {
-        if bytes >= LARGE {
+    let on_progress = |bytes| {
+        if bytes >= LARGE_RESPONSE_BYTES {
             entry.large_answer_arrives();
         }
     };
-    let answer = match begun {
-        Ok(arriving) => client.finish(arriving, arrived).await,
+    let answer = match response {
+        Ok(pending) => client.finish(pending, on_progress).await,
         Err(err) => Err(err),
     };
     let failure = answer.as_ref().err().map(ToString::to_string);
@@ -78,26 +83,27 @@
     answer
 }
 
-/// Waits after a failed call: [`RETRY_PAUSE_MS`] to twice as long.
+/// Waits after a failed call, for [`RETRY_PAUSE_MS`] to twice as long.
 async fn pause() {
     let ms = RETRY_PAUSE_MS + rand::thread_rng().gen_range(0..RETRY_PAUSE_MS);
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// Pause after a failed call for what peers bring as well, at random up to twice its least: all
-/// entries together ask no more often than [`FLEET_CALLS_PER_S`], however many they are.
+/// Pause after a failed call for what peers may provide as well: random, from its minimum to twice
+/// that. All entries together call no more often than [`FLEET_CALLS_PER_S`], whatever their number.
 fn retry_pause(entry: &Entry) -> Millis {
     let least = fleet_pause(entry, Millis(RETRY_PAUSE_MS));
     least + Millis(rand::thread_rng().gen_range(0..least.0))
 }
 
 /// Pause between two calls of one entry: `least`, or longer in a fleet that would make more than
-/// [`FLEET_CALLS_PER_S`]. An entry that has nothing yet serves nobody, and waits no longer than `least`.
+/// [`FLEET_CALLS_PER_S`]. An entry that has no configuration or list yet can't serve, and never
+/// waits longer than `least`.
 fn fleet_pause(entry: &Entry, least: Millis) -> Millis {
     if entry.version() == 0 || entry.listed_up_to() == 0 {
         return least;
     }
     let entries = entry.peers.borrow().entries(entry.clock.now()) as u64;
     let shared = Millis(entries * 1_000 / FLEET_CALLS_PER_S);
-    shared.clamp(least, LONGEST_PAUSE.max(least))
+    shared.clamp(least, MAX_PAUSE.max(least))
 }
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::watch::MAX_WATCH_LAG;
-use super::{call, fleet_pause, CallError, Document, StoreClient, CALL_TIME, RETRY_PAUSE_MS};
+use super::{call, fleet_pause, CallError, Document, StoreClient, CALL_TIMEOUT, RETRY_PAUSE_MS};
 use crate::clock::Millis;
 use crate::direct::dialect::Snapshot;
 use crate::direct::directory::Revision;
@@ -64,7 +64,7 @@
     client: &StoreClient,
 ) -> Result<Snapshot, CallError> {
     let head = entry.dialect.snapshot_query();
-    let (status, body) = call(entry, client, Document::Revision, head, CALL_TIME).await?;
+    let (status, body) = call(entry, client, Document::Revision, head, CALL_TIMEOUT).await?;
     let snapshot = entry.dialect.snapshot(status, &body);
     snapshot.map_err(CallError::InvalidResponse)
 }
