--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries: telling in rounds, and hearing.
+//! Gossip between entries over UDP: sends messages in rounds, and handles received datagrams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,24 +20,26 @@
 use crate::quarantine::{Notice, MAX_NOTICES_PER_MESSAGE};
 
 /// Pause after an error of the socket.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Age of its proof from which on an entry that does not watch the store asks one that does: two hops
-/// behind a watcher that asks the store every second.
-const ASK_AT: Millis = Millis(900);
-/// Rounds between two such questions.
-const ASK_ROUNDS: u64 = 2;
-/// Placements that a neighbour is told at most, the newest ones: an entry makes some five in a turn.
-const OWN_PLACED: usize = 12;
-/// Placements of the zone that another zone's entry is told at most.
-const ZONE_PLACED: usize = 24;
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(100);
+/// Proof age from which an entry that does not watch the store asks one that does: two hops behind
+/// a watcher that asks the store every second.
+const REQUEST_PROOF_AT: Millis = Millis(900);
+/// Rounds between two such requests.
+const ROUNDS_PER_PROOF_REQUEST: u64 = 2;
+/// Maximum number of placements sent to a neighbor, the newest ones; an entry makes about five in a
+/// cycle through its neighbors.
+const MAX_OWN_PLACEMENTS: usize = 12;
+/// Maximum number of the zone's placements sent to an entry of another zone.
+const MAX_ZONE_PLACEMENTS: usize = 24;
 
-/// Time in which what is to be told at once is gathered: an endpoint that ends loses dozens of runs.
-const GATHER: Millis = Millis(5);
-/// Of 256 rounds, those in which what is alarming is told again: with each round, entries of a fleet of thirty
-/// spent up to 62 KB a second.
-const REPEATS: u8 = 48;
+/// Time for which urgent notices are gathered before they are sent, since an endpoint that ends
+/// loses dozens of runs at once.
+const GATHER_TIME: Millis = Millis(5);
+/// Share of rounds, in 256ths, in which urgent notices are repeated. Repeated in every round,
+/// entries of a fleet of thirty spent up to 62 KB a second.
+const REPEATS_PER_256_ROUNDS: u8 = 48;
 
-/// Tells some peers each round.
+/// Sends messages to some peers in each round, and urgent notices in between; never returns.
 pub async fn send_rounds(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut rounds = 0;
     let mut next = Instant::now() + ROUND_INTERVAL.duration();
@@ -45,45 +47,46 @@
         tokio::select! {
             () = sleep_until(next) => next = Instant::now() + ROUND_INTERVAL.duration(),
             () = entry.tell_now.notified() => {
-                tell_at_once(&entry, &socket).await;
+                send_urgent_notices(&entry, &socket).await;
                 continue;
             }
         }
         entry.evaluate_suspects();
         entry.round_limits();
         let now = entry.clock.now();
-        let repeats = rand::random::<u8>() < REPEATS;
+        let repeats = rand::random::<u8>() < REPEATS_PER_256_ROUNDS;
         let round = entry.peers.borrow_mut().round(entry.is_watching(), now);
-        for tell in round {
-            let hello = hello_for(&entry, tell, now);
-            let bytes = send(&socket, tell.to, &hello).await;
+        for target in round {
+            let message = build_message(&entry, target, now);
+            let bytes = send(&socket, target.to, &message).await;
             entry
                 .peers
                 .borrow_mut()
-                .record_sent_bytes(tell.work_scope, bytes);
-            let since = entry.peers.borrow().notices_since(tell.work_scope, now);
-            send_notices(&entry, &socket, tell.to, since, repeats).await;
-            tell_limits(&entry, tell.to, since);
+                .record_sent_bytes(target.work_scope, bytes);
+            let since = entry.peers.borrow().notices_since(target.work_scope, now);
+            send_notices(&entry, &socket, target.to, since, repeats).await;
+            send_recent_limits(&entry, target.to, since);
         }
         rounds += 1;
-        if rounds % ASK_ROUNDS == 0 {
-            ask_proof(&entry, &socket, now).await;
+        if rounds % ROUNDS_PER_PROOF_REQUEST == 0 {
+            request_proof(&entry, &socket, now).await;
         }
     }
 }
 
-/// Tells some peers between two rounds of requests under suspicion: what ends an endpoint within 0.1 s comes again
-/// before the next round.
-async fn tell_at_once(entry: &Entry, socket: &UdpSocket) {
-    sleep(GATHER.duration()).await;
-    let since = entry.clock.now() - Millis(GATHER.0 * 2);
+/// Sends notices about suspect requests to some peers between two rounds: a request that crashes an
+/// endpoint within 0.1 s comes again before the next round.
+async fn send_urgent_notices(entry: &Entry, socket: &UdpSocket) {
+    sleep(GATHER_TIME.duration()).await;
+    let since = entry.clock.now() - Millis(GATHER_TIME.0 * 2);
     let peers = entry.peers.borrow_mut().immediate_targets();
     for peer in peers {
         send_notices(entry, socket, peer, since, false).await;
     }
 }
 
-/// Tells a peer what was learned of requests under suspicion.
+/// Sends a peer the notices about suspect requests since a time; `repeats` includes urgent ones
+/// again.
 async fn send_notices(
     entry: &Entry,
     socket: &UdpSocket,
@@ -98,138 +101,144 @@
             .borrow()
             .recent()
             .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
-    send_alert(socket, to, &notices).await;
+    send_notice_datagram(socket, to, &notices).await;
 }
 
-/// Tells a peer what endpoints said of their limits to this entry lately.
-fn tell_limits(entry: &Entry, to: SocketAddr, since: Millis) {
+/// Sends a peer the limits that endpoints announced to this entry since a time.
+fn send_recent_limits(entry: &Entry, to: SocketAddr, since: Millis) {
     let news = entry.limits.borrow().news(since, entry.clock.now());
     if !news.is_empty() {
         entry.send_limits(to, &Message::Told(news));
     }
 }
 
-async fn send_alert(socket: &UdpSocket, to: SocketAddr, notices: &[Notice]) {
+async fn send_notice_datagram(socket: &UdpSocket, to: SocketAddr, notices: &[Notice]) {
     let Some(bytes) = peers::encode_notices(notices) else {
         return;
     };
-    // A peer that is down answers with an error; others pass on what it missed.
+    // A peer that is down causes an error here; other peers forward to it what it missed.
     if let Err(err) = socket.send_to(&bytes, to).await {
         tracing::debug!(%err, %to, "notices not sent");
     }
 }
 
-/// Asks an entry that watches the store for its proof where the own one grows old.
+/// Asks an entry that watches the store for its proof if the own one grows old.
 ///
-/// Without it an entry of a large fleet asks the store itself: proofs that pass from peer to peer in
-/// rounds are older than one is good for.
-async fn ask_proof(entry: &Entry, socket: &UdpSocket, now: Millis) {
-    let is_old = entry.proof_age().is_none_or(|age| age >= ASK_AT);
+/// Without this an entry of a large fleet would ask the store itself: proofs that pass from peer to
+/// peer in rounds arrive older than they may be.
+async fn request_proof(entry: &Entry, socket: &UdpSocket, now: Millis) {
+    let is_old = entry.proof_age().is_none_or(|age| age >= REQUEST_PROOF_AT);
     if !is_old || entry.is_watching() {
         return;
     }
     let source = entry.peers.borrow().proof_source(rand::random());
     if let Some(to) = source {
-        let tell = GossipTarget {
+        let target = GossipTarget {
             to,
             work_scope: WorkScope::Nothing,
         };
-        let mut hello = hello_for(entry, tell, now);
-        hello.wants_reply = true;
-        send(socket, to, &hello).await;
+        let mut message = build_message(entry, target, now);
+        message.wants_reply = true;
+        send(socket, to, &message).await;
     }
 }
 
-/// Sends a datagram; its length in bytes.
-async fn send(socket: &UdpSocket, to: SocketAddr, hello: &GossipMessage) -> usize {
-    let most = match hello.work_scope {
+/// Sends a message; returns its length in bytes, or 0 if it is too long to be sent.
+async fn send(socket: &UdpSocket, to: SocketAddr, message: &GossipMessage) -> usize {
+    let max_bytes = match message.work_scope {
         WorkScope::Zone => MAX_REMOTE_BYTES,
         WorkScope::Sender | WorkScope::Nothing => MAX_DATAGRAM_BYTES,
     };
-    let Some(bytes) = peers::encode_within(hello, most) else {
-        tracing::warn!(work = hello.work.len(), "datagram too long, not sent");
+    let Some(bytes) = peers::encode_within(message, max_bytes) else {
+        tracing::warn!(
+            work = message.work.len(),
+            "gossip message too long, not sent"
+        );
         return 0;
     };
-    // A peer that is down answers with an error; the next round tells it again.
+    // A peer that is down causes an error here; a later round sends to it again.
     if let Err(err) = socket.send_to(&bytes, to).await {
-        tracing::debug!(%err, %to, "datagram not sent");
+        tracing::debug!(%err, %to, "gossip message not sent");
     }
     bytes.len()
 }
 
-/// Hears peers.
+/// Receives and handles datagrams of peers; never returns.
 pub async fn receive(entry: Rc<Entry>, socket: Rc<UdpSocket>) -> anyhow::Result<()> {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((length, from)) => match peers::decode(&buf[..length]) {
-                Some(hello) => {
-                    let is_new = heard(&entry, from, &hello);
+                Some(message) => {
+                    let is_new = handle_message(&entry, from, &message);
                     if is_new {
                         let now = entry.clock.now();
                         let refused = entry
                             .quarantine
                             .borrow()
                             .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
-                        send_alert(&socket, from, &refused).await;
+                        send_notice_datagram(&socket, from, &refused).await;
                     }
-                    // A peer that is not known learns the zone of this entry at once, and so whom it
-                    // tells in turn.
-                    if hello.wants_reply || is_new {
-                        answer(&entry, &socket, from).await;
+                    // The reply tells a new peer the zone of this entry at once, and so in which of
+                    // its rounds to include it.
+                    if message.wants_reply || is_new {
+                        send_reply(&entry, &socket, from).await;
                     }
                 }
-                None => hear_other(&entry, from, &buf[..length]),
+                None => handle_other_datagram(&entry, from, &buf[..length]),
             },
             Err(err) => {
-                tracing::debug!(%err, "datagram socket");
-                sleep(PAUSE).await;
+                tracing::debug!(%err, "datagram socket could not be read");
+                sleep(SOCKET_ERROR_PAUSE).await;
             }
         }
     }
 }
 
-/// Takes a datagram that is not of a round.
-fn hear_other(entry: &Rc<Entry>, from: SocketAddr, bytes: &[u8]) {
+/// Handles a datagram that is not a gossip message.
+fn handle_other_datagram(entry: &Rc<Entry>, from: SocketAddr, bytes: &[u8]) {
     if let Some(notices) = peers::decode_notices(bytes) {
         entry.take_notices(&notices);
     } else if let Some(message) = limits::decode(bytes) {
         entry.take_limits(from, message);
     } else {
-        tracing::debug!(%from, "datagram is not one of ours");
+        tracing::debug!(%from, "datagram of an unknown format");
     }
 }
 
-/// Answers a peer that asks for a proof.
-async fn answer(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
-    let tell = GossipTarget {
+/// Replies to a peer that is new, or that asked for a proof.
+async fn send_reply(entry: &Entry, socket: &UdpSocket, to: SocketAddr) {
+    let target = GossipTarget {
         to,
         work_scope: WorkScope::Nothing,
     };
-    let hello = hello_for(entry, tell, entry.clock.now());
-    send(socket, to, &hello).await;
+    let message = build_message(entry, target, entry.clock.now());
+    send(socket, to, &message).await;
 }
 
-/// What this entry tells one peer now.
-fn hello_for(entry: &Entry, tell: GossipTarget, now: Millis) -> GossipMessage {
-    let work = work_for(entry, tell.work_scope, now);
-    let mut book = entry.peers.borrow_mut();
-    let since = book.placements_since(tell.work_scope, now);
-    let (placements, peer_addresses) = match tell.work_scope {
+/// Builds the message to send to a peer now.
+fn build_message(entry: &Entry, target: GossipTarget, now: Millis) -> GossipMessage {
+    let work = reported_work(entry, target.work_scope, now);
+    let mut table = entry.peers.borrow_mut();
+    let since = table.placements_since(target.work_scope, now);
+    let (placements, peer_addresses) = match target.work_scope {
         WorkScope::Sender => (
-            entry.placements.borrow().since(since, OWN_PLACED),
-            book.peer_addresses(tell.to, now),
+            entry.placements.borrow().since(since, MAX_OWN_PLACEMENTS),
+            table.peer_addresses(target.to, now),
         ),
         WorkScope::Zone => (
-            entry.zone_placements.borrow().since(since, ZONE_PLACED),
-            book.peer_addresses(tell.to, now),
+            entry
+                .zone_placements
+                .borrow()
+                .since(since, MAX_ZONE_PLACEMENTS),
+            table.peer_addresses(target.to, now),
         ),
         WorkScope::Nothing => (Vec::new(), Vec::new()),
     };
     GossipMessage {
         from: entry.id,
-        number: book.next_number(now),
-        echo: book.echo(tell.to),
+        number: table.next_number(now),
+        echo: table.echo(target.to),
         version: entry.version(),
         proof_age_ms: entry.freshness().age(now).map(|age| age.0),
         revision: entry.listed_up_to(),
@@ -238,20 +247,20 @@
         leaving: entry.life() != Life::Serving,
         watches: entry.is_watching(),
         reads_large: entry.is_excused(),
-        link_mbps: book.link_mbps(),
-        zone: book.zone(),
-        zone_entries: book.zone_entries(now),
+        link_mbps: table.link_mbps(),
+        zone: table.zone(),
+        zone_entries: table.zone_entries(now),
         wants_reply: false,
         peer_addresses,
-        work_scope: tell.work_scope,
+        work_scope: target.work_scope,
         work,
         placements,
     }
 }
 
-/// The work that a datagram tells, by the digests of the endpoints.
-fn work_for(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, Work)> {
-    let of = |load: &Load| match work_scope {
+/// The work to report in a message, by the digests of the endpoints.
+fn reported_work(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, Work)> {
+    let work_at = |load: &Load| match work_scope {
         WorkScope::Sender => load.own(now),
         WorkScope::Zone => load.of_cell(now),
         WorkScope::Nothing => Work::default(),
@@ -260,74 +269,74 @@
     let accounts = entry.accounts();
     let all = accounts
         .iter()
-        .map(|(key, account)| (key, of(&account.load)));
+        .map(|(key, account)| (key, work_at(&account.load)));
     all.filter(|(_, work)| !work.is_at_rest())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
 }
 
-/// Takes a datagram: the peer, its proof, its version, its work and its placements. True when the
-/// peer was not known.
-fn heard(entry: &Rc<Entry>, from: SocketAddr, hello: &GossipMessage) -> bool {
+/// Handles a gossip message: updates the peer, the proof, the work and the placements, and fetches
+/// a newer configuration or changes of the list. True if the peer is new or has restarted.
+fn handle_message(entry: &Rc<Entry>, from: SocketAddr, message: &GossipMessage) -> bool {
     let now = entry.clock.now();
-    let heard = entry.peers.borrow_mut().record_message(from, hello, now);
-    if heard.is_new {
+    let receipt = entry.peers.borrow_mut().record_message(from, message, now);
+    if receipt.is_new {
         let peers = entry.peers.borrow().entries(now) - 1;
         entry.log_peer(from, peers);
     }
-    if hello.version <= entry.version() {
-        entry.catalog_known_up_to(hello.catalog_revision);
+    if message.version <= entry.version() {
+        entry.catalog_known_up_to(message.catalog_revision);
     }
-    if let (Some(asked), Some(age)) = (heard.echoed_sent_at, hello.proof_age_ms) {
-        if hello.version <= entry.version() {
+    if let (Some(asked), Some(age)) = (receipt.echoed_sent_at, message.proof_age_ms) {
+        if message.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
     }
-    entry.peer_has_version(hello.version);
-    if hello.version > entry.version() && entry.begin_fetch(Fetch::Catalog) {
+    entry.peer_has_version(message.version);
+    if message.version > entry.version() && entry.begin_fetch(Fetch::Catalog) {
         actix_rt::spawn(fetch::catalog(Rc::clone(entry), from));
     }
-    let has_changes = entry.may_have_changes(from, hello.revision, hello.changes_after);
+    let has_changes = entry.may_have_changes(from, message.revision, message.changes_after);
     if has_changes && entry.begin_fetch(Fetch::Changes) {
         actix_rt::spawn(fetch::changes(Rc::clone(entry), from));
     }
-    entry.peer_applied(hello.revision);
-    take_work(entry, hello, now);
-    take_placements(entry, hello, now);
-    heard.is_new
+    entry.peer_applied(message.revision);
+    apply_work(entry, message, now);
+    record_placements(entry, message, now);
+    receipt.is_new
 }
 
-/// Takes what a peer tells of work at each endpoint.
-fn take_work(entry: &Entry, hello: &GossipMessage, now: Millis) {
-    let book = entry.peers.borrow();
-    let (teller, lasts) = match (hello.work_scope, hello.zone) {
-        (WorkScope::Sender, _) => (Teller::Peer(hello.from), book.neighbor_report_ttl()),
-        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_report_ttl(now)),
+/// Updates the load of each endpoint from the work in a message.
+fn apply_work(entry: &Entry, message: &GossipMessage, now: Millis) {
+    let table = entry.peers.borrow();
+    let (teller, ttl) = match (message.work_scope, message.zone) {
+        (WorkScope::Sender, _) => (Teller::Peer(message.from), table.neighbor_report_ttl()),
+        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), table.zone_report_ttl(now)),
         (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
-    let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
+    let reported: HashMap<u32, Work> = message.work.iter().copied().collect();
     let directory = entry.directory();
     let mut accounts = entry.accounts_mut();
     for (key, account) in accounts.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
-        match digest.and_then(|digest| told.get(&digest)) {
-            Some(work) => account.load.told(teller, *work, lasts, now),
+        match digest.and_then(|digest| reported.get(&digest)) {
+            Some(work) => account.load.told(teller, *work, ttl, now),
             None => account.load.told_at_rest(teller, now),
         }
     }
 }
 
-/// Takes note of the prompts that a peer placed.
-fn take_placements(entry: &Entry, hello: &GossipMessage, now: Millis) {
+/// Records the placements in a message.
+fn record_placements(entry: &Entry, message: &GossipMessage, now: Millis) {
     let directory = entry.directory();
     let mut prefixes = entry.prefixes.borrow_mut();
-    let mut of_zone = entry.zone_placements.borrow_mut();
-    for placed in &hello.placements {
-        if let Some(key) = directory.by_digest(placed.endpoint) {
-            prefixes.note(key, std::iter::once(placed.segment_id), now, now);
+    let mut zone_placements = entry.zone_placements.borrow_mut();
+    for placement in &message.placements {
+        if let Some(key) = directory.by_digest(placement.endpoint) {
+            prefixes.note(key, std::iter::once(placement.segment_id), now, now);
         }
-        if hello.work_scope == WorkScope::Sender {
-            of_zone.add_if_new(*placed, now);
+        if message.work_scope == WorkScope::Sender {
+            zone_placements.add_if_new(*placement, now);
         }
     }
 }
