--- a/src/direct/fetch.rs
+++ b/src/direct/fetch.rs
@@ -1,6 +1,7 @@
-//! Fetching from a peer what it has and this entry has not: a newer configuration, or changes.
+//! Fetches from a peer what it has and this entry lacks: a newer configuration, or changes of the
+//! list of endpoints.
 //!
-//! Each begins with [`Entry::begin_fetch`], and ends it when it is over.
+//! The caller begins each fetch with [`Entry::begin_fetch`]; the fetch ends it when it is over.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,17 +16,18 @@
 use crate::direct::sync::{CallError, Document, OngoingRead, StoreClient};
 use crate::direct::versions;
 
-/// Time for a peer's answer to begin.
-const FETCH_TIME: Duration = Duration::from_millis(800);
+/// Time for a peer's response to begin.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Takes a newer configuration from a peer; the store may not be reachable from here.
+/// Fetches and applies a newer configuration from a peer, since the store may not be reachable from
+/// here.
 pub async fn catalog(entry: Rc<Entry>, from: SocketAddr) {
     let query = ready::catalog_since_query(entry.version());
-    match ask(&entry, from, Document::Catalog, query).await {
+    match request(&entry, from, Document::Catalog, query).await {
         Ok((status, body)) if status.is_success() => match versions::decode(&body) {
             Some(newer) => {
                 if !entry.take_newer(newer, &from.to_string()) {
-                    tracing::debug!(%from, "a peer's patches do not lead on from here");
+                    tracing::debug!(%from, "a peer's patches do not apply to the version in force");
                 }
             }
             None => {
@@ -39,14 +41,14 @@
     entry.end_fetch(Fetch::Catalog);
 }
 
-/// Takes the changes of the list that a peer has and this entry has not.
+/// Fetches and applies the changes of the list that a peer has and this entry lacks.
 pub async fn changes(entry: Rc<Entry>, from: SocketAddr) {
     let query = ready::changes_query(entry.listed_up_to());
-    match ask(&entry, from, Document::Changes, query).await {
+    match request(&entry, from, Document::Changes, query).await {
         Ok((status, body)) if status.is_success() => match changes::decode(&body) {
-            Some(passed) => {
+            Some(batch) => {
                 let before = entry.listed_up_to();
-                entry.take_passed_on(passed);
+                entry.take_passed_on(batch);
                 entry.log_list_known(before, &from.to_string());
             }
             None => {
@@ -58,7 +60,7 @@
             tracing::debug!(%status, %from, "a peer does not keep the changes, asking the store");
             entry.changes_not_kept(from);
             if entry.store_is_away() {
-                whole_list(&entry, from).await;
+                fetch_whole_list(&entry, from).await;
             }
         }
         Err(err) => tracing::debug!(%err, %from, "a peer's changes could not be fetched"),
@@ -66,24 +68,24 @@
     entry.end_fetch(Fetch::Changes);
 }
 
-/// Takes the whole list of a peer, where the store can't tell what is missing.
-async fn whole_list(entry: &Entry, from: SocketAddr) {
-    match ask(entry, from, Document::List, ready::list_query()).await {
+/// Fetches and applies a peer's whole list, for when the store can't be asked for what is missing.
+async fn fetch_whole_list(entry: &Entry, from: SocketAddr) {
+    match request(entry, from, Document::List, ready::list_query()).await {
         Ok((status, body)) if status.is_success() => match changes::decode(&body) {
-            Some(passed) => {
+            Some(batch) => {
                 let before = entry.listed_up_to();
-                entry.take_whole_list(passed);
+                entry.take_whole_list(batch);
                 entry.log_list_known(before, &from.to_string());
             }
             None => tracing::warn!(%from, "a peer's list can't be decoded"),
         },
-        Ok((status, _)) => tracing::debug!(%status, %from, "a peer does not tell its list"),
+        Ok((status, _)) => tracing::debug!(%status, %from, "a peer does not provide its list"),
         Err(err) => tracing::debug!(%err, %from, "a peer's list could not be fetched"),
     }
 }
 
-/// Makes one call to a peer, where it answers operators and peers.
-async fn ask(
+/// Makes one call to a peer, at the port of the own administration address.
+async fn request(
     entry: &Entry,
     peer: SocketAddr,
     document: Document,
@@ -92,7 +94,7 @@
     let address = SocketAddr::new(peer.ip(), entry.settings.borrow().admin.port());
     let client = StoreClient::new(address);
     let reading = OngoingRead::begin(entry, document, Some(peer));
-    let answer = client.call(query, FETCH_TIME).await;
+    let answer = client.call(query, FETCH_TIMEOUT).await;
     let failure = match &answer {
         Ok((status, _)) if !status.is_success() => Some(format!("status {}", status.as_u16())),
         Ok(_) => None,
