--- a/src/direct/versions.rs
+++ b/src/direct/versions.rs
@@ -1,5 +1,5 @@
-//! The newest versions of the configuration as entries pass them on: the patches between them, and
-//! the whole for an entry that is further behind or has none.
+//! The newest versions of the configuration, as entries forward them: the patches between them, and
+//! the full version for an entry that is further behind or has none.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,18 +11,20 @@
 use crate::direct::catalog::{Catalog, CatalogParts};
 use crate::direct::patch::Patch;
 
-/// Layout of an [`Update`]; another one is not read, and the store is asked instead.
+/// Format of an [`Update`]. One of another format is not read, and the store is asked instead.
 const FORMAT: u8 = 1;
-/// Patches that are kept: a storm of changes every 80 ms for some seconds.
-const MOST_PATCHES: usize = 64;
-/// Bytes of patches that are kept: 32 versions of 1,400 new routes each, at 16 KB.
-const MOST_BYTES: usize = 512 << 10;
-/// Bytes that are read from a peer at most, once decompressed: 100,000 routes are read, 200,000 are not.
-const MOST_PLAIN: usize = 16 << 20;
-/// Level of compression: the fastest.
-const LEVEL: i32 = 1;
+/// Maximum number of patches that are kept: enough for changes every 80 ms over some seconds.
+const MAX_PATCHES: usize = 64;
+/// Maximum size of the patches that are kept, in bytes: 32 versions of 1,400 new routes each, at 16
+/// KB.
+const MAX_PATCH_BYTES: usize = 512 << 10;
+/// Maximum size of what is read from a peer, in bytes after decompression: 100,000 routes are read,
+/// 200,000 are not.
+const MAX_DECOMPRESSED_BYTES: usize = 16 << 20;
+/// Compression level of zstd: the fastest.
+const COMPRESSION_LEVEL: i32 = 1;
 
-/// What one entry passes to another that has an older version, or none.
+/// What one entry sends to another that has an older version, or none.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Update {
     format: u8,
@@ -31,66 +33,68 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum UpdateBody {
-    /// Patches, the oldest first, each written by itself.
+    /// Patches, the oldest first, each encoded and compressed by itself.
     Patches(Vec<Vec<u8>>),
-    /// The newest version.
+    /// The newest version, encoded and compressed.
     #[serde(rename = "Whole")]
     Full(Vec<u8>),
 }
 
-/// What an update brought.
+/// A decoded update.
 #[derive(Debug)]
 pub enum VersionUpdate {
-    /// Patches and their written forms, to be passed on.
+    /// Patches, and their encoded forms to be forwarded.
     Patches(Vec<Patch>, Vec<Bytes>),
-    /// A whole version.
+    /// A full version.
     Full(Box<Catalog>),
 }
 
-/// A patch as it is passed on.
+/// An encoded patch, as it is forwarded.
 #[derive(Debug, Clone)]
 pub struct EncodedPatch {
-    /// The version to which it belongs.
+    /// The version to which it applies.
     pub base: u64,
-    /// The version that it makes.
+    /// The version that results.
     pub version: u64,
-    /// Its text, compressed.
+    /// The encoded and compressed patch.
     pub payload: Bytes,
 }
 
-/// The newest patches, without a gap between them, up to the version in force.
+/// The newest patches, which lead without a gap to the version in force.
 #[derive(Debug, Default)]
 pub struct VersionLog {
-    kept: VecDeque<EncodedPatch>,
-    bytes: usize,
-    /// The version in force as it is passed on, once a peer has asked for it.
-    whole: RefCell<Option<Bytes>>,
+    patches: VecDeque<EncodedPatch>,
+    total_bytes: usize,
+    /// The encoded version in force, once a peer has asked for it.
+    encoded_full: RefCell<Option<Bytes>>,
 }
 
 impl VersionLog {
-    /// A version came into force by these patches, written for peers; none where it came whole.
+    /// Records that a version came into force by these patches; none if it came in full. Drops the
+    /// oldest patches beyond the limits.
     pub fn advance(&mut self, patches: Vec<EncodedPatch>) {
-        self.whole.take();
+        self.encoded_full.take();
         if patches.is_empty() {
-            self.kept.clear();
-            self.bytes = 0;
+            self.patches.clear();
+            self.total_bytes = 0;
         }
         for patch in patches {
-            self.bytes += patch.payload.len();
-            self.kept.push_back(patch);
+            self.total_bytes += patch.payload.len();
+            self.patches.push_back(patch);
         }
-        while self.kept.len() > MOST_PATCHES || self.bytes > MOST_BYTES {
-            let Some(oldest) = self.kept.pop_front() else {
+        while self.patches.len() > MAX_PATCHES || self.total_bytes > MAX_PATCH_BYTES {
+            let Some(oldest) = self.patches.pop_front() else {
                 return;
             };
-            self.bytes -= oldest.payload.len();
+            self.total_bytes -= oldest.payload.len();
         }
     }
 
-    /// What makes the version in force of `version`, for a peer; `None` when it can't be written.
+    /// Encodes an update from `version` to the version in force, `catalog`: patches if they are all
+    /// kept, else the full version. `None` if it can't be encoded.
     pub fn since(&self, version: u64, catalog: &Catalog) -> Option<Vec<u8>> {
         let newer: Vec<&EncodedPatch> = self
-            .kept
+            .patches
             .iter()
             .skip_while(|patch| patch.base != version)
             .collect();
@@ -98,53 +102,55 @@
         let body = if is_newest {
             UpdateBody::Patches(newer.iter().map(|p| p.payload.to_vec()).collect())
         } else {
-            UpdateBody::Full(self.whole(catalog)?.to_vec())
+            UpdateBody::Full(self.encoded_full(catalog)?.to_vec())
         };
         let format = FORMAT;
         bincode::serde::encode_to_vec(Update { format, body }, bincode::config::standard()).ok()
     }
 
-    /// The version in force, written once for all peers.
-    fn whole(&self, catalog: &Catalog) -> Option<Bytes> {
-        if let Some(written) = &*self.whole.borrow() {
-            return Some(written.clone());
+    /// Returns the version in force, encoded once for all peers.
+    fn encoded_full(&self, catalog: &Catalog) -> Option<Bytes> {
+        if let Some(encoded) = &*self.encoded_full.borrow() {
+            return Some(encoded.clone());
         }
-        let written = encode_compressed(&catalog.parts())?;
-        *self.whole.borrow_mut() = Some(written.clone());
-        Some(written)
+        let encoded = encode_compressed(&catalog.parts())?;
+        *self.encoded_full.borrow_mut() = Some(encoded.clone());
+        Some(encoded)
     }
 }
 
-/// Reads what a peer passed on; `None` when it is not of this kind, or too long.
+/// Decodes an update from a peer; `None` if it is malformed, of another format or too long.
 pub fn decode(bytes: &[u8]) -> Option<VersionUpdate> {
-    let config = bincode::config::standard().with_limit::<MOST_PLAIN>();
+    let config = bincode::config::standard().with_limit::<MAX_DECOMPRESSED_BYTES>();
     let (update, read): (Update, _) = bincode::serde::decode_from_slice(bytes, config).ok()?;
     if update.format != FORMAT || read != bytes.len() {
         return None;
     }
     match update.body {
-        UpdateBody::Patches(written) => {
+        UpdateBody::Patches(encoded) => {
             let patches: Option<Vec<Patch>> =
-                written.iter().map(|w| decode_compressed(w)).collect();
-            let written = written.into_iter().map(Bytes::from).collect();
-            Some(VersionUpdate::Patches(patches?, written))
+                encoded.iter().map(|w| decode_compressed(w)).collect();
+            let encoded = encoded.into_iter().map(Bytes::from).collect();
+            Some(VersionUpdate::Patches(patches?, encoded))
         }
-        UpdateBody::Full(written) => {
-            let parts: CatalogParts = decode_compressed(&written)?;
+        UpdateBody::Full(encoded) => {
+            let parts: CatalogParts = decode_compressed(&encoded)?;
             Some(VersionUpdate::Full(Box::new(Catalog::from(parts))))
         }
     }
 }
 
-/// Writes a patch or a whole version, compressed; `None` when it can't be written.
+/// Encodes and compresses a patch or a full version; `None` if it can't be encoded.
 pub fn encode_compressed<T: Serialize>(value: &T) -> Option<Bytes> {
     let plain = bincode::serde::encode_to_vec(value, bincode::config::standard()).ok()?;
-    zstd::bulk::compress(&plain, LEVEL).ok().map(Bytes::from)
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL)
+        .ok()
+        .map(Bytes::from)
 }
 
-fn decode_compressed<T: DeserializeOwned>(written: &[u8]) -> Option<T> {
-    let plain = zstd::bulk::decompress(written, MOST_PLAIN).ok()?;
-    let config = bincode::config::standard().with_limit::<MOST_PLAIN>();
+fn decode_compressed<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
+    let plain = zstd::bulk::decompress(encoded, MAX_DECOMPRESSED_BYTES).ok()?;
+    let config = bincode::config::standard().with_limit::<MAX_DECOMPRESSED_BYTES>();
     let (value, read) = bincode::serde::decode_from_slice(&plain, config).ok()?;
     (read == plain.len()).then_some(value)
 }
