--- a/src/direct/changes.rs
+++ b/src/direct/changes.rs
@@ -1,7 +1,8 @@
-//! Changes of the list of endpoints as a watch brought them, kept for a while for entries that do
-//! not watch the store themselves.
+//! A log of changes of the list of endpoints as a watch returned them, for entries that do not
+//! watch the store themselves.
 //!
-//! The configuration isn't among them: it may be a thousand times as large and would hold them up.
+//! The configuration is not part of it: it may be a thousand times as large and would delay the
+//! changes.
 
 use std::collections::VecDeque;
 
@@ -9,61 +10,66 @@
 
 use crate::direct::directory::{Change, Listing, Revision};
 
-/// Changes that are kept: each of 1,000 endpoints replaced. Whoever is further behind asks the store.
-const MOST_CHANGES: usize = 2_000;
-/// Bytes that are read from a peer at most, once decompressed: twice what is kept.
-const MOST_PLAIN: usize = 1 << 20;
-/// Spans that are kept; whoever is before an older one asks the store.
-const MOST_SPANS: usize = 64;
-/// Level of compression: the fastest.
-const LEVEL: i32 = 1;
+/// Maximum number of changes that are kept: each of 1,000 endpoints replaced. An entry that is
+/// further behind asks the store.
+const MAX_CHANGES: usize = 2_000;
+/// Maximum size of what is read from a peer, in bytes after decompression: twice what is kept.
+const MAX_DECOMPRESSED_BYTES: usize = 1 << 20;
+/// Maximum number of spans that are kept. An entry that is behind the end of a dropped one asks the
+/// store.
+const MAX_SPANS: usize = 64;
+/// Compression level of zstd: the fastest.
+const COMPRESSION_LEVEL: i32 = 1;
 
 /// Changes without a gap between them.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     /// Revision after which the changes begin.
     after: Revision,
-    /// Revision up to which they are complete.
+    /// Revision up to which the changes are complete.
     up_to: Revision,
-    kept: VecDeque<Change>,
+    changes: VecDeque<Change>,
     /// Spans that are known from listings, the oldest first.
     spans: VecDeque<ListingSpan>,
 }
 
-/// Part of the history that is known from a whole listing at its end.
+/// Span of revisions whose changes are known only from a whole listing at its end.
 ///
-/// A listing tells what is there, compared with what was known at the start of the span. It does not tell of
-/// endpoints that came or left within the span, so its changes lead on from the start alone.
+/// A listing tells what exists, and is compared with what was known at the start of the span. It
+/// does not show endpoints that came or left within the span, so its changes apply only to a list
+/// that is complete up to the start of the span.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListingSpan {
-    /// Its start.
+    /// Revision at its start.
     pub after: Revision,
-    /// Its end.
+    /// Revision at its end.
     pub up_to: Revision,
 }
 
 impl ListingSpan {
-    /// Whether a list that is complete up to a revision lacks changes that the listing does not tell.
-    const fn splits_at(&self, revision: Revision) -> bool {
+    /// Whether `revision` lies within the span, so that a list that is complete up to there lacks
+    /// changes which the listing does not show.
+    const fn contains(&self, revision: Revision) -> bool {
         self.after < revision && revision < self.up_to
     }
 }
 
-/// What one entry passes to another.
+/// Changes of the list, as one entry sends them to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBatch {
     /// Changes, the oldest first.
     pub changes: Vec<Change>,
     /// Revision up to which they are complete.
     pub up_to: Revision,
-    /// Spans among them that are known from listings; written behind the rest, and only where there are any, so
-    /// that entries of earlier versions read all other messages and no such one.
+    /// Spans among them that are known from listings. They are encoded after the other fields, and
+    /// only if there are any: entries of earlier versions read batches without spans, and reject
+    /// those with spans.
     #[serde(skip)]
     pub spans: Vec<ListingSpan>,
 }
 
 impl ChangeBatch {
-    /// A whole listing, as the changes that make it of an empty one.
+    /// A whole listing, as the changes that lead to it from an empty list.
     pub fn from_listing(listing: Listing, up_to: Revision) -> Self {
         let endpoints = listing.endpoints.into_iter().map(Change::Put);
         let cordons = listing.cordons.into_iter().map(Change::Cordoned);
@@ -74,7 +80,7 @@
         }
     }
 
-    /// That listing.
+    /// Turns a batch made by [`ChangeBatch::from_listing`] back into the listing.
     pub fn into_listing(self) -> Listing {
         let mut listing = Listing::default();
         for change in self.changes {
@@ -87,23 +93,24 @@
         listing
     }
 
-    /// Whether the changes lead on from a list that is complete up to a revision.
+    /// Whether the changes apply to a list that is complete up to `revision`.
     pub fn applies_to(&self, revision: Revision) -> bool {
-        !self.spans.iter().any(|span| span.splits_at(revision))
+        !self.spans.iter().any(|span| span.contains(revision))
     }
 }
 
 impl ChangeLog {
-    /// Keeps what a listing changed in a list that was complete up to a revision.
+    /// Appends the changes between a list that was complete up to `after` and a listing at `up_to`.
     pub fn append_listing(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
         self.append(after, up_to, changes);
         self.append_spans(&[ListingSpan { after, up_to }]);
     }
 
-    /// Spans among the changes that were kept last are known from listings.
+    /// Marks spans among the changes appended last as known from listings. Beyond the maximum
+    /// number the oldest are dropped, with the history up to their ends.
     pub fn append_spans(&mut self, spans: &[ListingSpan]) {
         self.spans.extend(spans);
-        while self.spans.len() > MOST_SPANS {
+        while self.spans.len() > MAX_SPANS {
             if let Some(oldest) = self.spans.pop_front() {
                 self.after = self.after.max(oldest.up_to);
             }
@@ -112,18 +119,19 @@
         self.spans.retain(|span| span.up_to > after);
     }
 
-    /// Keeps all changes after a revision, up to another one.
+    /// Appends all changes after the revision `after`, up to `up_to`. If the log does not end at
+    /// `after`, it starts anew from there.
     pub fn append(&mut self, after: Revision, up_to: Revision, changes: &[Change]) {
         if self.up_to != after {
-            self.kept.clear();
+            self.changes.clear();
             self.spans.clear();
             self.after = after;
         }
         self.up_to = up_to;
-        self.kept.extend(changes.iter().cloned());
-        while self.kept.len() > MOST_CHANGES {
-            if let Some(oldest) = self.kept.pop_front() {
-                // Listings and cordons come in no order.
+        self.changes.extend(changes.iter().cloned());
+        while self.changes.len() > MAX_CHANGES {
+            if let Some(oldest) = self.changes.pop_front() {
+                // Listings and cordons are in no order of revisions.
                 self.after = self.after.max(oldest.revision());
             }
         }
@@ -134,43 +142,44 @@
         self.after
     }
 
-    /// All changes after a revision; `None` when some of them are not kept, or there are none.
+    /// Returns all changes after `revision`; `None` if there are none, some are not kept, or
+    /// `revision` lies within the span of a listing.
     pub fn since(&self, revision: Revision) -> Option<ChangeBatch> {
         if self.after > revision || self.up_to <= revision {
             return None;
         }
-        let newer = self.kept.iter().filter(|c| c.revision() > revision);
+        let newer = self.changes.iter().filter(|c| c.revision() > revision);
         let spans = self.spans.iter().filter(|span| span.up_to > revision);
-        let passed = ChangeBatch {
+        let batch = ChangeBatch {
             changes: newer.cloned().collect(),
             up_to: self.up_to,
             spans: spans.copied().collect(),
         };
-        passed.applies_to(revision).then_some(passed)
+        batch.applies_to(revision).then_some(batch)
     }
 }
 
-/// Writes changes for another entry, compressed; `None` when they can't be written.
-pub fn encode(passed: &ChangeBatch) -> Option<Vec<u8>> {
+/// Encodes and compresses changes for another entry; `None` if they can't be encoded.
+pub fn encode(batch: &ChangeBatch) -> Option<Vec<u8>> {
     let config = bincode::config::standard();
-    let mut plain = bincode::serde::encode_to_vec(passed, config).ok()?;
-    if !passed.spans.is_empty() {
-        plain.extend(bincode::serde::encode_to_vec(&passed.spans, config).ok()?);
+    let mut plain = bincode::serde::encode_to_vec(batch, config).ok()?;
+    if !batch.spans.is_empty() {
+        plain.extend(bincode::serde::encode_to_vec(&batch.spans, config).ok()?);
     }
-    zstd::bulk::compress(&plain, LEVEL).ok()
+    zstd::bulk::compress(&plain, COMPRESSION_LEVEL).ok()
 }
 
-/// Reads what another entry passed on; `None` when it is not of this kind or too long.
+/// Decodes changes from another entry; `None` if they are malformed or too long.
 pub fn decode(bytes: &[u8]) -> Option<ChangeBatch> {
-    let plain = zstd::bulk::decompress(bytes, MOST_PLAIN).ok()?;
-    let config = bincode::config::standard().with_limit::<MOST_PLAIN>();
-    let (mut passed, read): (ChangeBatch, _) =
+    let plain = zstd::bulk::decompress(bytes, MAX_DECOMPRESSED_BYTES).ok()?;
+    let config = bincode::config::standard().with_limit::<MAX_DECOMPRESSED_BYTES>();
+    let (mut batch, read): (ChangeBatch, _) =
         bincode::serde::decode_from_slice(&plain, config).ok()?;
     let rest = &plain[read..];
     if rest.is_empty() {
-        return Some(passed);
+        return Some(batch);
     }
     let (spans, read) = bincode::serde::decode_from_slice(rest, config).ok()?;
-    passed.spans = spans;
-    (read == rest.len()).then_some(passed)
+    batch.spans = spans;
+    (read == rest.len()).then_some(batch)
 }
