--- a/src/direct/listed.rs
+++ b/src/direct/listed.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says: endpoints, cordons of availability zones, and changes of either.
+//! The platform's list: endpoints, cordons of availability zones, and changes of either.
 
 use std::net::SocketAddr;
 
@@ -6,38 +6,39 @@
 
 use crate::clock::Millis;
 
-/// A point in the history of the platform's documents.
+/// Number of a point in the history of the platform's documents; a later point has a higher number.
 pub type Revision = u64;
 
-/// One endpoint as listed.
+/// One endpoint, as the list has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// Identity of this life of the endpoint.
+    /// Identity of the endpoint.
     pub id: String,
-    /// Pool that it serves.
+    /// Name of the pool that it serves.
     pub pool: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Name of its availability zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Number of requests that it works on at a time.
     pub slots: u32,
-    /// Whether it announced its end.
+    /// Whether it announced that it will stop.
     pub draining: bool,
-    /// Time for which it still warms up.
+    /// Remaining time of its warm-up.
     pub warming: Millis,
-    /// When this life of the endpoint began, in ms of Unix time; `None` where it is not told.
+    /// When this incarnation of the endpoint began, in ms of Unix time; `None` if the list doesn't
+    /// tell.
     pub born: Option<u64>,
-    /// Where in the history this entry was written.
+    /// Revision at which this item of the list was written.
     pub revision: Revision,
 }
 
-/// Everything that a whole listing holds.
+/// A whole listing.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Endpoints.
+    /// All endpoints.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Availability zones to whose endpoints nothing new is sent.
+    /// Cordons: availability zones to whose endpoints nothing new is sent.
     pub cordons: Vec<Cordon>,
 }
 
@@ -55,21 +56,21 @@
 pub enum Change {
     /// An endpoint was added or changed.
     Put(ListedEndpoint),
-    /// An entry disappeared.
+    /// An endpoint was removed from the list.
     Removed {
         /// Identity of the endpoint.
         id: String,
-        /// When.
+        /// Revision of the removal.
         revision: Revision,
     },
     /// Nothing new is to be sent to the endpoints of an availability zone.
     Cordoned(Cordon),
-    /// An availability zone takes work again.
+    /// The cordon of an availability zone was removed.
     Uncordoned(Cordon),
 }
 
 impl Change {
-    /// Where in the history it stands.
+    /// The revision of the change.
     pub const fn revision(&self) -> Revision {
         match self {
             Self::Put(listed) => listed.revision,
@@ -79,11 +80,11 @@
     }
 }
 
-/// A cordon of one zone, or its end.
+/// A cordon of one availability zone, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cordon {
     /// Name of the availability zone.
     pub zone: String,
-    /// Where in the history it was written or removed.
+    /// Revision at which it was written or removed.
     pub revision: Revision,
 }
