--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -65,7 +65,7 @@
 ) -> Result<Snapshot, CallError> {
     let head = entry.dialect.snapshot_query();
     let (status, body) = call(entry, client, Document::Revision, head, CALL_TIMEOUT).await?;
-    let snapshot = entry.dialect.snapshot(status, &body);
+    let snapshot = entry.dialect.parse_snapshot(status, &body);
     snapshot.map_err(CallError::InvalidResponse)
 }
 
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -146,7 +146,7 @@
 ) -> Result<WatchResult, CallError> {
     let reading = OngoingRead::begin(entry, Document::Changes, None);
     let (status, body) = finish(entry, client, reading, response).await?;
-    let watched = entry.dialect.watched(status, &body);
+    let watched = entry.dialect.parse_watch(status, &body);
     watched.map_err(CallError::InvalidResponse)
 }
 
