--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -62,13 +62,13 @@
 fn question(bencher: divan::Bencher<'_, '_>) {
     let mut limits = Limits::default();
     limits.round(|_| true, NOW);
-    limits.hear(
+    limits.record_answer(
         TARGET,
         AnnouncedLimit::Rate(Rate(3_300)),
         Millis(4_900),
         NOW,
     );
-    let ask = limits.question(TARGET, 1, 0, 0, NOW);
+    let ask = limits.permit_request(TARGET, 1, 0, 0, NOW);
     let bytes = limits::encode(&Message::Ask(ask)).unwrap_or_default();
     let own = Coordinator::Own {
         visible_share: 1.0,
@@ -78,7 +78,7 @@
         let Some(Message::Ask(ask)) = limits::decode(&bytes) else {
             return None;
         };
-        let answer = limits.asked(&ask, own, NOW);
+        let answer = limits.handle_request(&ask, own, NOW);
         limits::encode(&Message::Answer(answer))
     });
 }
--- a/src/direct/entry/limited.rs
+++ b/src/direct/entry/limited.rs
@@ -12,7 +12,7 @@
 use crate::clock::Millis;
 use crate::direct::decision::Decision;
 use crate::direct::directory::EndpointKey;
-use crate::direct::limits::{self, Message, PermitAnswer, PermitAsk, Step, Target};
+use crate::direct::limits::{self, Message, PermitDecision, PermitRequest, PermitResponse, Target};
 use crate::direct::peers::{Coordinator, ZoneId};
 use crate::rate::Rate;
 
@@ -24,7 +24,7 @@
 /// Questions for permits that wait for their answers, by number.
 #[derive(Debug, Default)]
 pub struct Questions {
-    waiting: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitAnswer>)>>,
+    waiting: RefCell<HashMap<u32, (SocketAddr, oneshot::Sender<PermitResponse>)>>,
     next: Cell<u32>,
 }
 
@@ -42,7 +42,7 @@
 
 impl Questions {
     /// A question to a peer, and where its answer comes.
-    fn begin(&self, peer: SocketAddr) -> (Question<'_>, oneshot::Receiver<PermitAnswer>) {
+    fn begin(&self, peer: SocketAddr) -> (Question<'_>, oneshot::Receiver<PermitResponse>) {
         let number = self.next.get();
         self.next.set(number.wrapping_add(1));
         let (tx, rx) = oneshot::channel();
@@ -52,7 +52,7 @@
     }
 
     /// A peer answered.
-    fn answered(&self, from: SocketAddr, answer: PermitAnswer) {
+    fn answered(&self, from: SocketAddr, answer: PermitResponse) {
         let mut waiting = self.waiting.borrow_mut();
         let is_asked = waiting
             .get(&answer.number)
@@ -77,7 +77,7 @@
 
 impl Entry {
     /// An endpoint answered a request that was sent at a time; what it names counts.
-    pub fn endpoint_limited(
+    pub fn record_announced_limit(
         &self,
         key: EndpointKey,
         named: AnnouncedLimit,
@@ -88,7 +88,10 @@
             return;
         };
         let now = self.clock.now();
-        let changed = self.limits.borrow_mut().hear(target, named, sent, now);
+        let changed = self
+            .limits
+            .borrow_mut()
+            .record_answer(target, named, sent, now);
         if let Some(limit) = changed {
             let request = String::from_utf8_lossy(request).into_owned();
             self.log_limited(target, limit, Some(request), None);
@@ -106,99 +109,105 @@
     }
 
     /// When a permit for a request of a band may be asked for at a limited endpoint; `None` where it has no limit.
-    pub fn permit_at(&self, endpoint: u32, band: usize) -> Option<Millis> {
+    pub fn permit_request_at(&self, endpoint: u32, band: usize) -> Option<Millis> {
         let now = self.clock.now();
-        self.limits.borrow().ask_at(endpoint, band, now)
+        self.limits.borrow().permit_request_at(endpoint, band, now)
     }
 
     /// Counts a request as waiting for a permit until the guard is dropped.
-    pub fn wait_for_permits(self: &Rc<Self>) -> Waiting {
+    pub fn count_waiting_for_permit(self: &Rc<Self>) -> Waiting {
         self.waiting.set(self.waiting.get() + 1);
         Waiting(Rc::clone(self))
     }
 
     /// A permit to send a request of a band to an endpoint now, where that needs one.
-    pub async fn permit(&self, key: EndpointKey, band: usize) -> Step {
+    pub async fn request_permit(&self, key: EndpointKey, band: usize) -> PermitDecision {
         let Some(target) = self.target(key) else {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         };
         if self.limits.borrow().is_empty() {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         }
         let by = self.whom_to_ask(target);
         let now = self.clock.now();
-        let mut step = self.limits.borrow_mut().step(target, by, band, now);
+        let mut step = self.limits.borrow_mut().decide(target, by, band, now);
         for _ in 0..MOST_ASKED {
-            let Step::Ask(peer) = step else {
+            let PermitDecision::Ask(peer) = step else {
                 break;
             };
             step = self.ask(peer, target, band).await;
         }
-        self.gauges.permit(&step);
+        self.metrics.permit(&step);
         step
     }
 
     /// Asks a peer for a permit.
-    async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> Step {
+    async fn ask(&self, peer: SocketAddr, target: Target, band: usize) -> PermitDecision {
         let now = self.clock.now();
         let (question, rx) = self.questions.begin(peer);
-        let ask =
-            self.limits
-                .borrow()
-                .question(target, question.number, band, self.waiting.get(), now);
-        self.send_limits(peer, &Message::Ask(ask));
+        let ask = self.limits.borrow().permit_request(
+            target,
+            question.number,
+            band,
+            self.waiting.get(),
+            now,
+        );
+        self.send_limit_message(peer, &Message::Ask(ask));
         let answer = self.clock.timeout_at(now + ANSWER_TIME, rx).await;
         let answer = answer.and_then(Result::ok);
         drop(question);
         let now = self.clock.now();
         let mut limits = self.limits.borrow_mut();
-        limits.answered(target, peer, answer.as_ref(), band, now)
+        limits.handle_response(target, peer, answer.as_ref(), band, now)
     }
 
     /// Takes a datagram on limits.
-    pub fn take_limits(&self, from: SocketAddr, message: Message) {
+    pub fn handle_limit_message(&self, from: SocketAddr, message: Message) {
         match message {
             Message::Ask(ask) => self.answer_ask(from, &ask),
             Message::Answer(answer) => self.questions.answered(from, answer),
             Message::Told(told) => {
                 let now = self.clock.now();
                 for (endpoint, word) in told {
-                    self.limit_told(endpoint, word.word(now), from);
+                    self.limit_told(endpoint, word.observation(now), from);
                 }
             }
         }
     }
 
     /// Answers a peer that asks for a permit.
-    fn answer_ask(&self, from: SocketAddr, ask: &PermitAsk) {
+    fn answer_ask(&self, from: SocketAddr, ask: &PermitRequest) {
         let target = Target {
             endpoint: ask.endpoint,
             zone: ask.zone,
         };
         let now = self.clock.now();
         let by = self.coordinator(target);
-        let answer = self.limits.borrow_mut().asked(ask, by, now);
-        self.send_limits(from, &Message::Answer(answer));
+        let answer = self.limits.borrow_mut().handle_request(ask, by, now);
+        self.send_limit_message(from, &Message::Answer(answer));
     }
 
     /// A peer told what an endpoint said to it.
-    fn limit_told(&self, endpoint: u32, word: limits::Word, from: SocketAddr) {
+    fn limit_told(&self, endpoint: u32, word: limits::LimitObservation, from: SocketAddr) {
         let key = self.directory().by_digest(endpoint);
         // One that is not listed here is not sent to either.
         let Some(target) = key.and_then(|key| self.target(key)) else {
             return;
         };
         let now = self.clock.now();
-        let changed = self.limits.borrow_mut().hear_told(target, word, now);
+        let changed = self
+            .limits
+            .borrow_mut()
+            .record_peer_observation(target, word, now);
         if let Some(limit) = changed {
             self.log_limited(target, limit, None, Some(from));
         }
     }
 
     /// A round: forgets what is over, and gives out no more where another entry decides.
-    pub fn round_limits(&self) {
+    pub fn update_limit_coordination(&self) {
         let now = self.clock.now();
-        let is_leaving = self.life() != super::Life::Serving;
+        let is_leaving = self.process_state() != super::ProcessState::Serving;
         self.peers
             .borrow_mut()
             .update_serving_peers(is_leaving, now);
@@ -207,7 +216,7 @@
     }
 
     /// Sends a datagram on limits. One that is lost is made up for: the question is asked again, and words are told again.
-    pub fn send_limits(&self, to: SocketAddr, message: &Message) {
+    pub fn send_limit_message(&self, to: SocketAddr, message: &Message) {
         let (Some(link), Some(bytes)) = (self.link.get(), limits::encode(message)) else {
             return;
         };
@@ -225,17 +234,17 @@
     fn whom_to_ask(&self, target: Target) -> Coordinator {
         let now = self.clock.now();
         let limits = self.limits.borrow();
-        self.pick_coordinator(target, |peer| limits.is_unanswered(peer, now))
+        self.pick_coordinator(target, |peer| limits.is_unresponsive(peer, now))
     }
 
     fn pick_coordinator(
         &self,
         target: Target,
-        is_unanswered: impl Fn(SocketAddr) -> bool,
+        is_unresponsive: impl Fn(SocketAddr) -> bool,
     ) -> Coordinator {
         let peers = self.peers.borrow();
         let (now, started) = (self.clock.now(), self.started);
-        peers.coordinator(target.endpoint, target.zone, started, now, is_unanswered)
+        peers.coordinator(target.endpoint, target.zone, started, now, is_unresponsive)
     }
 
     fn target(&self, key: EndpointKey) -> Option<Target> {
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::clock::Millis;
-use crate::direct::entry::{Entry, Fetch, Life};
+use crate::direct::entry::{Entry, Fetch, ProcessState};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
 use crate::direct::load::{Load, Teller, Work};
@@ -46,13 +46,13 @@
     loop {
         tokio::select! {
             () = sleep_until(next) => next = Instant::now() + ROUND_INTERVAL.duration(),
-            () = entry.tell_now.notified() => {
+            () = entry.gossip_requested.notified() => {
                 send_urgent_notices(&entry, &socket).await;
                 continue;
             }
         }
         entry.evaluate_suspects();
-        entry.round_limits();
+        entry.update_limit_coordination();
         let now = entry.clock.now();
         let repeats = rand::random::<u8>() < REPEATS_PER_256_ROUNDS;
         let round = entry.peers.borrow_mut().round(entry.is_watching(), now);
@@ -106,9 +106,12 @@
 
 /// Sends a peer the limits that endpoints announced to this entry since a time.
 fn send_recent_limits(entry: &Entry, to: SocketAddr, since: Millis) {
-    let news = entry.limits.borrow().news(since, entry.clock.now());
-    if !news.is_empty() {
-        entry.send_limits(to, &Message::Told(news));
+    let recent_observations = entry
+        .limits
+        .borrow()
+        .recent_observations(since, entry.clock.now());
+    if !recent_observations.is_empty() {
+        entry.send_limit_message(to, &Message::Told(recent_observations));
     }
 }
 
@@ -198,9 +201,9 @@
 /// Handles a datagram that is not a gossip message.
 fn handle_other_datagram(entry: &Rc<Entry>, from: SocketAddr, bytes: &[u8]) {
     if let Some(notices) = peers::decode_notices(bytes) {
-        entry.take_notices(&notices);
+        entry.apply_notices(&notices);
     } else if let Some(message) = limits::decode(bytes) {
-        entry.take_limits(from, message);
+        entry.handle_limit_message(from, message);
     } else {
         tracing::debug!(%from, "datagram of an unknown format");
     }
@@ -241,12 +244,12 @@
         echo: table.echo(target.to),
         version: entry.version(),
         proof_age_ms: entry.freshness().age(now).map(|age| age.0),
-        revision: entry.listed_up_to(),
+        revision: entry.list_revision(),
         changes_after: entry.changes_after(),
-        catalog_revision: entry.catalog_up_to(),
-        leaving: entry.life() != Life::Serving,
+        catalog_revision: entry.catalog_revision(),
+        leaving: entry.process_state() != ProcessState::Serving,
         watches: entry.is_watching(),
-        reads_large: entry.is_excused(),
+        reads_large: entry.is_stale_proof_excused(),
         link_mbps: table.link_mbps(),
         zone: table.zone(),
         zone_entries: table.zone_entries(now),
@@ -266,10 +269,10 @@
         WorkScope::Nothing => Work::default(),
     };
     let directory = entry.directory();
-    let accounts = entry.accounts();
-    let all = accounts
+    let endpoint_states = entry.endpoint_states();
+    let all = endpoint_states
         .iter()
-        .map(|(key, account)| (key, work_at(&account.load)));
+        .map(|(key, endpoint_state)| (key, work_at(&endpoint_state.load)));
     all.filter(|(_, work)| !work.is_at_rest())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
@@ -285,14 +288,14 @@
         entry.log_peer(from, peers);
     }
     if message.version <= entry.version() {
-        entry.catalog_known_up_to(message.catalog_revision);
+        entry.confirm_catalog_at(message.catalog_revision);
     }
     if let (Some(asked), Some(age)) = (receipt.echoed_sent_at, message.proof_age_ms) {
         if message.version <= entry.version() {
             entry.prove_by_peer(asked, Millis(age));
         }
     }
-    entry.peer_has_version(message.version);
+    entry.note_peer_catalog_version(message.version);
     if message.version > entry.version() && entry.begin_fetch(Fetch::Catalog) {
         actix_rt::spawn(fetch::catalog(Rc::clone(entry), from));
     }
@@ -300,7 +303,7 @@
     if has_changes && entry.begin_fetch(Fetch::Changes) {
         actix_rt::spawn(fetch::changes(Rc::clone(entry), from));
     }
-    entry.peer_applied(message.revision);
+    entry.note_peer_list_revision(message.revision);
     apply_work(entry, message, now);
     record_placements(entry, message, now);
     receipt.is_new
@@ -316,12 +319,12 @@
     };
     let reported: HashMap<u32, Work> = message.work.iter().copied().collect();
     let directory = entry.directory();
-    let mut accounts = entry.accounts_mut();
-    for (key, account) in accounts.iter_mut() {
+    let mut endpoint_states = entry.endpoint_states_mut();
+    for (key, endpoint_state) in endpoint_states.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| reported.get(&digest)) {
-            Some(work) => account.load.told(teller, *work, ttl, now),
-            None => account.load.told_at_rest(teller, now),
+            Some(work) => endpoint_state.load.told(teller, *work, ttl, now),
+            None => endpoint_state.load.told_at_rest(teller, now),
         }
     }
 }
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::directory::{Endpoint, EndpointKey};
-use crate::direct::limits::Step;
+use crate::direct::limits::PermitDecision;
 
 /// Time in which a permit is to be used: to open a connection takes less, and a process that stood still meanwhile does not
 /// send later what others have got since.
@@ -29,9 +29,9 @@
             return true;
         }
         let asked = self.entry.clock.now();
-        let is_permitted = match self.entry.permit(key, self.band()).await {
-            Step::Unlimited => true,
-            Step::Permitted => {
+        let is_permitted = match self.entry.request_permit(key, self.band()).await {
+            PermitDecision::Unlimited => true,
+            PermitDecision::Permitted => {
                 let until = asked + LASTS;
                 self.permit = Some(Permit {
                     endpoint: key,
@@ -39,7 +39,7 @@
                 });
                 true
             }
-            Step::Wait(_) | Step::Ask(_) => false,
+            PermitDecision::Wait(_) | PermitDecision::Ask(_) => false,
         };
         self.refusals += u32::from(!is_permitted);
         is_permitted
@@ -52,7 +52,7 @@
 
     /// Whether a permit for an endpoint may be asked for now, or none is needed.
     pub(super) fn may_ask_permit(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let Some(ask_at) = self.entry.permit_at(endpoint.digest, self.band()) else {
+        let Some(ask_at) = self.entry.permit_request_at(endpoint.digest, self.band()) else {
             return true;
         };
         ask_at <= now && self.refusals < MOST_REFUSALS
@@ -70,7 +70,7 @@
         if at > wait_until.min(self.end) {
             return Attempt::NoEndpoint;
         }
-        let waiting = self.entry.wait_for_permits();
+        let waiting = self.entry.count_waiting_for_permit();
         self.entry.clock.sleep_until(at).await;
         drop(waiting);
         self.refusals = 0;
@@ -88,7 +88,7 @@
                 !self.tried.contains(key) && self.may_run_at(endpoint, &settings)
             });
         let band = self.band();
-        open.filter_map(|(_, endpoint)| self.entry.permit_at(endpoint.digest, band))
+        open.filter_map(|(_, endpoint)| self.entry.permit_request_at(endpoint.digest, band))
             .min()
     }
 
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -53,12 +53,12 @@
             return Attempt::TimeOver;
         }
         if !self.may_send(key, now) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Withdrawn(key);
         }
         // It may have named its limit since it was chosen.
         if !self.is_within_limit(key) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Limited;
         }
         match self.entry.allow(self.ask) {
@@ -67,7 +67,7 @@
             Err(denied) => return Attempt::Denied(denied),
         }
         if !self.take_turn(now) {
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
             return Attempt::Waits;
         }
         self.use_permit();
@@ -94,11 +94,11 @@
 
     /// A connection to an endpoint: a kept one that is quiet, or a new one.
     async fn open(&self, key: EndpointKey) -> Option<Connection> {
-        if let Some(channel) = self.entry.idle_channel(key) {
+        if let Some(channel) = self.entry.take_idle_connection(key) {
             return Some(channel);
         }
         let address = self.entry.directory().get(key)?.listed.address;
-        self.entry.gauges.connection();
+        self.entry.metrics.connection();
         let connected = Connection::connect(address).await;
         if matches!(connected, Err(ExchangeError::Refused)) {
             self.entry.endpoint_ended(key, EndSign::Refused);
@@ -121,8 +121,8 @@
         self.note_placement(&choice);
         let placed = self
             .entry
-            .place(key, &self.pool, choice.footprint, self.request);
-        let is_own = |head: &ResponseHead| self.is_own(key, head);
+            .begin_run(key, &self.pool, choice.footprint, self.request);
+        let is_own = |head: &ResponseHead| self.belongs_to_request(key, head);
         let sending = channel.send(head, &self.incoming.body, is_own);
         let reply = match self.wait(sending, key, now).await {
             Ok(Ok(reply)) => reply,
@@ -154,16 +154,16 @@
 
     /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
     /// endpoint announces in it holds all the same.
-    fn is_own(&self, key: EndpointKey, head: &ResponseHead) -> bool {
+    fn belongs_to_request(&self, key: EndpointKey, head: &ResponseHead) -> bool {
         let response_info = self.entry.dialect.response_info(head, &self.ask.id);
-        if !response_info.is_own {
+        if !response_info.belongs_to_request {
             let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
-            self.entry.endpoint_announced(key, announcement, id);
+            self.entry.record_announcement(key, announcement, id);
             let sent = Millis(0);
             self.entry
-                .endpoint_limited(key, announcement.limit, sent, id);
+                .record_announced_limit(key, announcement.limit, sent, id);
         }
-        response_info.is_own
+        response_info.belongs_to_request
     }
 
     /// The head that the endpoint gets; `None` when it has left the list.
@@ -250,7 +250,8 @@
     /// Whether anything was heard of an endpoint since a time.
     fn was_heard(&self, key: EndpointKey, since: Millis) -> bool {
         let mut heard = Millis(0);
-        self.entry.account(key, |account| heard = account.heard);
+        self.entry
+            .update_endpoint_state(key, |endpoint_state| heard = endpoint_state.last_contact_at);
         heard > since
     }
 }
--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -12,7 +12,7 @@
 use crate::direct::caller;
 use crate::direct::decision::DecisionLog;
 use crate::direct::dialect::Dialect;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::gossip;
 use crate::direct::ready;
 use crate::direct::settings::DirectSettings;
@@ -80,14 +80,16 @@
     link: UdpSocket,
 ) -> Supervisor {
     let mut supervisor = Supervisor::new("direct entry");
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("signals", move || {
-        watch_signals(Rc::clone(&cx), path.clone())
+        watch_signals(Rc::clone(&shared_entry), path.clone())
     });
     spawn_sync_tasks(&mut supervisor, entry, link);
     spawn_listeners(&mut supervisor, entry, listeners);
-    let cx = Rc::clone(entry);
-    supervisor.child("housekeeping", move || run_housekeeping(Rc::clone(&cx)));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("housekeeping", move || {
+        run_housekeeping(Rc::clone(&shared_entry))
+    });
     supervisor
 }
 
@@ -96,34 +98,34 @@
     let link = Rc::new(link);
     // This is the only place that sets the link, so it can't be set already.
     let _ = entry.link.set(Rc::clone(&link));
-    let cx = Rc::clone(entry);
-    supervisor.child("follow", move || sync::follow(Rc::clone(&cx)));
-    let cx = Rc::clone(entry);
-    supervisor.child("prove", move || sync::prove(Rc::clone(&cx)));
-    let (cx, socket) = (Rc::clone(entry), Rc::clone(&link));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("follow", move || sync::follow(Rc::clone(&shared_entry)));
+    let shared_entry = Rc::clone(entry);
+    supervisor.child("prove", move || sync::prove(Rc::clone(&shared_entry)));
+    let (shared_entry, socket) = (Rc::clone(entry), Rc::clone(&link));
     supervisor.child("tell", move || {
-        gossip::send_rounds(Rc::clone(&cx), Rc::clone(&socket))
+        gossip::send_rounds(Rc::clone(&shared_entry), Rc::clone(&socket))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("hear", move || {
-        gossip::receive(Rc::clone(&cx), Rc::clone(&link))
+        gossip::receive(Rc::clone(&shared_entry), Rc::clone(&link))
     });
 }
 
 /// Starts the tasks that answer the load balancer, operators and callers.
 fn spawn_listeners(supervisor: &mut Supervisor, entry: &Rc<Entry>, listeners: [TcpListener; 3]) {
     let [callers, readiness, admin] = listeners.map(Rc::new);
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("readiness", move || {
-        ready::answer_readiness(Rc::clone(&cx), Rc::clone(&readiness))
+        ready::answer_readiness(Rc::clone(&shared_entry), Rc::clone(&readiness))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("admin", move || {
-        ready::answer_admin(Rc::clone(&cx), Rc::clone(&admin))
+        ready::answer_admin(Rc::clone(&shared_entry), Rc::clone(&admin))
     });
-    let cx = Rc::clone(entry);
+    let shared_entry = Rc::clone(entry);
     supervisor.child("callers", move || {
-        caller::accept(Rc::clone(&cx), Rc::clone(&callers))
+        caller::accept(Rc::clone(&shared_entry), Rc::clone(&callers))
     });
 }
 
@@ -134,13 +136,13 @@
     loop {
         sleep(HOUSEKEEPING_INTERVAL).await;
         if let Some(time) = entry.clock.look() {
-            entry.resumed(time);
+            entry.handle_resume(time);
         }
         entry.expire();
         rounds += 1;
         if rounds % ROUNDS_PER_SECOND == 0 {
             entry.log.next_second();
-            entry.set_gauges();
+            entry.update_metrics();
         }
     }
 }
@@ -154,8 +156,8 @@
     let mut last_read = None;
     loop {
         tokio::select! {
-            _ = term.recv() => entry.stop("SIGTERM"),
-            _ = int.recv() => entry.stop("SIGINT"),
+            _ = term.recv() => entry.begin_stop("SIGTERM"),
+            _ = int.recv() => entry.begin_stop("SIGINT"),
             _ = hup.recv() => reload(&entry, path.as_deref(), &mut last_read),
             () = sleep(RELOAD_POLL_INTERVAL) => reload(&entry, path.as_deref(), &mut last_read),
         }
@@ -198,15 +200,15 @@
 /// Resolves when a planned stop has ended: after the load balancer has stopped sending connections,
 /// once no request is in flight or the time to stop is over.
 async fn wait_for_end(entry: &Rc<Entry>) {
-    let mut life = entry.watch_life();
-    while *life.borrow_and_update() == Life::Serving {
-        if life.changed().await.is_err() {
+    let mut process_state = entry.watch_process_state();
+    while *process_state.borrow_and_update() == ProcessState::Serving {
+        if process_state.changed().await.is_err() {
             return;
         }
     }
     let stop_started = entry.clock.now();
     entry.clock.sleep_until(stop_started + LINGER_TIME).await;
-    entry.end_work();
+    entry.stop_accepting();
     let grace = entry.settings.borrow().bounds.stop_grace_ms;
     let end = stop_started + Millis((grace as f64 * STOP_GRACE_FRACTION) as u64);
     while entry.in_flight() > 0 && entry.clock.now() < end {
--- a/src/direct/sync/follow.rs
+++ b/src/direct/sync/follow.rs
@@ -89,7 +89,7 @@
 async fn wait_for_wake(entry: &Entry) -> WakeReason {
     tokio::select! {
         () = sleep(ROLE_CHECK_INTERVAL) => WakeReason::CheckRole,
-        () = entry.watch_again.notified() => WakeReason::WatchOnce,
-        () = entry.list_again.notified() => WakeReason::ReadAll,
+        () = entry.rewatch_requested.notified() => WakeReason::WatchOnce,
+        () = entry.relist_requested.notified() => WakeReason::ReadAll,
     }
 }
--- a/src/direct/sync/listing.rs
+++ b/src/direct/sync/listing.rs
@@ -19,9 +19,9 @@
     let asked_at = entry.clock.now();
     let (listing, list_revision) = read_list(entry, client).await?;
     entry.store_answered();
-    let before = entry.listed_up_to();
-    entry.take_listing(listing, list_revision);
-    entry.log_list_known(before, "listing");
+    let before = entry.list_revision();
+    entry.apply_listing(listing, list_revision);
+    entry.log_list_advanced(before, "listing");
     let read = tokio::select! {
         biased;
         () = wait_for_peers_catalog(entry) => None,
@@ -30,9 +30,9 @@
     };
     if let Some(catalog) = read {
         if let Some(catalog) = catalog {
-            entry.take_catalog(catalog, "store");
+            entry.apply_catalog(catalog, "store");
         }
-        entry.catalog_known_up_to(list_revision);
+        entry.confirm_catalog_at(list_revision);
     }
     entry.prove_up_to(asked_at, list_revision);
     Ok(())
@@ -42,7 +42,7 @@
 /// Reading from a peer is faster: at 22 entries that restarted behind 10 Mbit/s, 5,600 routes took
 /// a median of 1.5 s from the store and 0.22 s from a peer.
 async fn wait_for_peers_catalog(entry: &Entry) {
-    while !entry.peers_bring_catalog() {
+    while !entry.can_get_catalog_from_peers() {
         sleep(PEER_CHECK_INTERVAL).await;
     }
 }
@@ -62,7 +62,7 @@
         listing.endpoints.extend(page.listing.endpoints);
         listing.cordons.extend(page.listing.cordons);
         for found in page.unreadable {
-            entry.found_unreadable(found);
+            entry.report_unreadable(found);
         }
         next_page = page.next;
         if next_page.is_none() {
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -67,7 +67,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let on_progress = |bytes| {
         if bytes >= LARGE_RESPONSE_BYTES {
-            entry.large_answer_arrives();
+            entry.record_large_answer_piece();
         }
     };
     let answer = match response {
@@ -76,7 +76,7 @@
     };
     let failure = answer.as_ref().err().map(ToString::to_string);
     reading.end(entry, client, failure);
-    entry.gauges.store_call(match &answer {
+    entry.metrics.store_call(match &answer {
         Ok(_) => "answered",
         Err(_) => "failed",
     });
@@ -100,7 +100,7 @@
 /// [`FLEET_CALLS_PER_S`]. An entry that has no configuration or list yet can't serve, and never
 /// waits longer than `least`.
 fn fleet_pause(entry: &Entry, least: Millis) -> Millis {
-    if entry.version() == 0 || entry.listed_up_to() == 0 {
+    if entry.version() == 0 || entry.list_revision() == 0 {
         return least;
     }
     let entries = entry.peers.borrow().entries(entry.clock.now()) as u64;
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -39,7 +39,7 @@
                 entry.store_answered();
                 let revision = snapshot.current;
                 if let Some(cordons) = snapshot.cordons {
-                    entry.take_cordons(cordons, revision);
+                    entry.apply_cordons(cordons, revision);
                 }
                 if !entry.prove_up_to(asked_at, revision) {
                     // The watch completes the proof when it brings the changes up to this revision.
@@ -49,7 +49,7 @@
             Err(err) => {
                 // The request may be waiting behind a large response, so the store may well be
                 // reachable.
-                if !entry.reads_large() {
+                if !entry.is_reading_large_answer() {
                     entry.store_failed(&err);
                 }
                 sleep(fleet_pause(&entry, UNREACHABLE_PAUSE).duration()).await;
@@ -86,7 +86,7 @@
 /// While the store is unreachable it is asked whatever proofs peers have: its return has to be
 /// noticed, since lapsed endpoints are only waited for from then on.
 pub fn time_until_proof_due(entry: &Entry, jitter: Millis) -> Millis {
-    if entry.store_is_away() {
+    if entry.is_store_unreachable() {
         return Millis(0);
     }
     match entry.proof_age() {
@@ -111,7 +111,7 @@
 /// response that may hold it is arriving.
 async fn list_if_behind(entry: &Entry, revision: Revision) {
     sleep(MAX_WATCH_LAG).await;
-    if entry.applied() < revision && !entry.reads_large() {
-        entry.list_again.notify_one();
+    if entry.applied() < revision && !entry.is_reading_large_answer() {
+        entry.relist_requested.notify_one();
     }
 }
--- a/src/direct/sync/reading.rs
+++ b/src/direct/sync/reading.rs
@@ -62,7 +62,7 @@
     pub fn end(self, entry: &Entry, client: &StoreClient, failure: Option<String>) {
         let bytes = client.received_bytes();
         let source = if self.peer.is_some() { "peer" } else { "store" };
-        entry.gauges.read(self.document.label(), source, bytes);
+        entry.metrics.read(self.document.label(), source, bytes);
         if failure.is_none() && bytes < MIN_LOGGED_BYTES {
             return;
         }
