--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -8,21 +8,21 @@
 //! is sent. If entries disagree on who it is, each issues less than the limit, see
 //! [`PermitBucket`].
 
-mod endpoint_limit;
+mod allowance;
+mod limited;
 mod message;
-mod observation;
-mod permit_bucket;
+mod word;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use self::endpoint_limit::EndpointLimit;
+pub use self::allowance::PermitBucket;
+use self::limited::EndpointLimit;
 pub use self::message::{
     decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation,
     MAX_OBSERVATIONS,
 };
-pub use self::observation::LimitObservation;
-pub use self::permit_bucket::PermitBucket;
+pub use self::word::LimitObservation;
 use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
