--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -2,7 +2,7 @@
 
 use actix_http::StatusCode;
 
-use super::{Attempt, Job};
+use super::{AttemptOutcome, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::ResponseKind;
@@ -18,65 +18,65 @@
 
 /// An answer whose head has arrived, with the attempt that it belongs to.
 #[derive(Debug)]
-pub(super) struct Answered<'a> {
+pub(super) struct ReceivedAnswer<'a> {
     /// The answer.
     pub(super) reply: Reply,
     /// The endpoint, with what was estimated for it.
     pub(super) choice: Choice,
     /// Keeps the request in the endpoint's load.
-    pub(super) placed: &'a Placed,
+    pub(super) run_guard: &'a Placed,
     /// When the request was sent.
     pub(super) sent_at: Millis,
 }
 
 impl Job<'_> {
     /// Judges an answer by its head and relays it if it is one for the caller.
-    pub(super) async fn answered(
+    pub(super) async fn handle_answer(
         &mut self,
         answerer: &mut Answerer,
-        answered: Answered<'_>,
-    ) -> Attempt {
-        let key = answered.choice.key;
+        answer: ReceivedAnswer<'_>,
+    ) -> AttemptOutcome {
+        let key = answer.choice.key;
         let now = self.entry.clock.now();
         let response_info = self
             .entry
             .dialect
-            .response_info(&answered.reply.head, &self.ask.id);
-        self.heard(key, &response_info, now);
+            .response_info(&answer.reply.head, &self.ask.id);
+        self.record_report(key, &response_info, now);
         let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
         self.entry.endpoint_announced(key, announcement, id);
         self.entry
-            .endpoint_limited(key, announcement.limit, answered.sent_at, id);
+            .endpoint_limited(key, announcement.limit, answer.sent_at, id);
         if response_info.misdirected {
-            answered.placed.undecided();
-            return self.misdirected(key);
+            answer.run_guard.undecided();
+            return self.handle_misdirected(key);
         }
         if response_info.not_run {
-            answered.placed.undecided();
-            return self.not_run(key, answered.reply, &response_info).await;
+            answer.run_guard.undecided();
+            return self.handle_not_run(key, answer.reply, &response_info).await;
         }
-        let status = answered.reply.head.status;
-        if let Some(why) = self.fault(status, &response_info) {
-            answered.placed.undecided();
-            return self.failed(key, Fault::Answer, why);
+        let status = answer.reply.head.status;
+        if let Some(why) = self.rejection_reason(status, &response_info) {
+            answer.run_guard.undecided();
+            return self.record_failure(key, Fault::Answer, why);
         }
         let relaying = async {
             if !status.is_success() || self.route().shape == ResponseKind::Whole {
-                self.relay_whole(answerer, answered, &response_info).await
+                self.relay_complete(answerer, answer, &response_info).await
             } else {
-                self.relay_events(answerer, answered, &response_info).await
+                self.relay_events(answerer, answer, &response_info).await
             }
         };
         let ended = self
             .entry
             .clock
-            .timeout_at(self.last_word(), relaying)
+            .timeout_at(self.answer_deadline(), relaying)
             .await;
-        ended.unwrap_or(Attempt::TimeOver)
+        ended.unwrap_or(AttemptOutcome::TimeOver)
     }
 
     /// Takes note of what the endpoint tells of itself.
-    fn heard(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
+    fn record_report(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
         self.entry.account(key, |account| {
             account.hear(now);
             if let Some(report) = response_info.report {
@@ -86,43 +86,47 @@
     }
 
     /// Another endpoint has this address now, and did not run the request.
-    fn misdirected(&mut self, key: EndpointKey) -> Attempt {
+    fn handle_misdirected(&mut self, key: EndpointKey) -> AttemptOutcome {
         let why = "another endpoint has its address";
         self.attempts -= 1;
         self.entry.endpoint_ended(key, EndSign::Replaced);
         self.entry.endpoint_failed(key, Fault::Contact, why);
         self.log_failed(key, why, false);
-        Attempt::NotRun(key)
+        AttemptOutcome::NotRun(key)
     }
 
     /// Why an answer does not count; `None` when it is one for the caller.
-    fn fault(&self, status: StatusCode, response_info: &ResponseInfo) -> Option<&'static str> {
+    fn rejection_reason(
+        &self,
+        status: StatusCode,
+        response_info: &ResponseInfo,
+    ) -> Option<&'static str> {
         if status.is_success() {
             return (!response_info.sealed).then_some("success without the endpoint's seal");
         }
-        if self.may_repeat() && status.is_server_error() && self.has_attempts() {
+        if self.may_repeat() && status.is_server_error() && self.has_attempts_left() {
             return Some("the endpoint's own error");
         }
         (!response_info.sealed).then_some("an error without the endpoint's seal")
     }
 
     /// The endpoint says that it did not run the request.
-    async fn not_run(
+    async fn handle_not_run(
         &self,
         key: EndpointKey,
         mut reply: Reply,
         response_info: &ResponseInfo,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let status = reply.head.status;
         // The body is of no interest, but the connection can be kept once it has been read.
         if relay::read_body(&mut reply).await.is_ok() {
-            self.keep(key, reply, response_info);
+            self.keep_connection(key, reply, response_info);
         }
         if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
                 .account(key, |account| account.load.turned_away(now));
-            self.note_turned_away();
+            self.record_endpoint_refusal();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
                 self.entry.endpoint_failed(key, Fault::Answer, why);
@@ -131,7 +135,7 @@
         self.log_failed(key, &format!("not run, status {}", status.as_u16()), false);
         let urgency = self.route().priority;
         self.entry.gauges.attempt(&self.pool, urgency, "not_run");
-        Attempt::NotRun(key)
+        AttemptOutcome::NotRun(key)
     }
 
     /// Whether a refusal is due to load: most slots are taken, or requests wait there.
@@ -148,48 +152,53 @@
     }
 
     /// The endpoint failed the request, which may have run.
-    pub(super) fn failed(&self, key: EndpointKey, fault: Fault, why: &str) -> Attempt {
+    pub(super) fn record_failure(
+        &self,
+        key: EndpointKey,
+        fault: Fault,
+        why: &str,
+    ) -> AttemptOutcome {
         self.entry.endpoint_failed(key, fault, why);
         self.log_failed(key, why, true);
         let urgency = self.route().priority;
         self.entry.gauges.attempt(&self.pool, urgency, "lost");
-        Attempt::Lost(key)
+        AttemptOutcome::Lost(key)
     }
 
     /// Relays a body once it is whole.
-    async fn relay_whole(
+    async fn relay_complete(
         &self,
         answerer: &mut Answerer,
-        mut answered: Answered<'_>,
+        mut answer: ReceivedAnswer<'_>,
         response_info: &ResponseInfo,
-    ) -> Attempt {
-        let key = answered.choice.key;
-        let Ok(body) = relay::read_body(&mut answered.reply).await else {
-            answered.placed.broken();
-            return self.failed(key, Fault::Answer, "the answer broke off");
+    ) -> AttemptOutcome {
+        let key = answer.choice.key;
+        let Ok(body) = relay::read_body(&mut answer.reply).await else {
+            answer.run_guard.broken();
+            return self.record_failure(key, Fault::Answer, "the answer broke off");
         };
-        let status = answered.reply.head.status;
+        let status = answer.reply.head.status;
         match status.is_server_error() {
-            true => answered.placed.undecided(),
-            false => answered.placed.answered(),
+            true => answer.run_guard.undecided(),
+            false => answer.run_guard.answered(),
         }
-        self.began(&answered.choice, answered.placed, answered.sent_at);
-        let head = self.entry.dialect.caller_response(&answered.reply.head);
-        self.keep(key, answered.reply, response_info);
-        let how = self.account_whole(key, status);
+        self.record_first_byte(&answer.choice, answer.run_guard, answer.sent_at);
+        let head = self.entry.dialect.caller_response(&answer.reply.head);
+        self.keep_connection(key, answer.reply, response_info);
+        let how = self.record_complete_answer(key, status);
         if answerer
             .send_response(head, body, self.is_closing())
             .await
             .is_err()
         {
-            return Attempt::CallerGone;
+            return AttemptOutcome::CallerGone;
         }
         self.log_ended(how, status.as_u16());
-        Attempt::Over(answerer.keeps_connection())
+        AttemptOutcome::Delivered(answerer.keeps_connection())
     }
 
     /// Accounts a whole answer to its endpoint.
-    fn account_whole(&self, key: EndpointKey, status: StatusCode) -> RequestOutcome {
+    fn record_complete_answer(&self, key: EndpointKey, status: StatusCode) -> RequestOutcome {
         if status == StatusCode::GATEWAY_TIMEOUT {
             // The request's own time was over, which says nothing about the endpoint.
             return RequestOutcome::EndpointError;
@@ -207,46 +216,55 @@
     async fn relay_events(
         &self,
         answerer: &mut Answerer,
-        mut answered: Answered<'_>,
+        mut answer: ReceivedAnswer<'_>,
         response_info: &ResponseInfo,
-    ) -> Attempt {
-        let key = answered.choice.key;
-        let status = answered.reply.head.status.as_u16();
-        let head = self.entry.dialect.caller_response(&answered.reply.head);
+    ) -> AttemptOutcome {
+        let key = answer.choice.key;
+        let status = answer.reply.head.status.as_u16();
+        let head = self.entry.dialect.caller_response(&answer.reply.head);
         let context = RelayContext {
             position: &self.position,
             close: self.is_closing(),
         };
-        let begin = || {
-            self.began(&answered.choice, answered.placed, answered.sent_at);
+        let on_first_event = || {
+            self.record_first_byte(&answer.choice, answer.run_guard, answer.sent_at);
             head.clone()
         };
-        let left = || {
+        let on_chunk_sent = || {
             let now = self.entry.clock.now();
             self.progress.borrow_mut().chunk_sent(now);
         };
-        let next = async |reply: &mut Reply| self.next_piece(reply).await;
-        let reply = &mut answered.reply;
-        match relay::events(reply, answerer, context, next, begin, left).await {
+        let next_chunk = async |reply: &mut Reply| self.next_chunk(reply).await;
+        let reply = &mut answer.reply;
+        match relay::events(
+            reply,
+            answerer,
+            context,
+            next_chunk,
+            on_first_event,
+            on_chunk_sent,
+        )
+        .await
+        {
             Ok(()) => {
-                answered.placed.answered();
-                self.keep(key, answered.reply, response_info);
+                answer.run_guard.answered();
+                self.keep_connection(key, answer.reply, response_info);
                 self.entry.endpoint_served(key);
                 self.log_ended(RequestOutcome::Served, status);
-                Attempt::Over(answerer.keeps_connection())
+                AttemptOutcome::Delivered(answerer.keeps_connection())
             }
-            Err(RelayError::Caller) => Attempt::CallerGone,
+            Err(RelayError::Caller) => AttemptOutcome::CallerGone,
             Err(RelayError::Endpoint) => {
-                answered.placed.broken();
-                self.failed(key, Fault::Answer, "the stream broke off")
+                answer.run_guard.broken();
+                self.record_failure(key, Fault::Answer, "the stream broke off")
             }
         }
     }
 
     /// The answer's first byte is about to leave.
-    fn began(&self, choice: &Choice, placed: &Placed, sent_at: Millis) {
+    fn record_first_byte(&self, choice: &Choice, run_guard: &Placed, sent_at: Millis) {
         let now = self.entry.clock.now();
-        placed.read();
+        run_guard.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
         self.entry.prefixes.borrow_mut().read(choice.key, ids, now);
         self.entry.account(choice.key, |account| {
@@ -264,10 +282,10 @@
     }
 
     /// Keeps the connection for another request, if the answer left it usable.
-    fn keep(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
-        if let Some(mut channel) = reply.into_connection() {
-            channel.idle_time = response_info.idle_time;
-            self.entry.keep_channel(key, channel);
+    fn keep_connection(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
+        if let Some(mut connection) = reply.into_connection() {
+            connection.idle_time = response_info.idle_time;
+            self.entry.keep_channel(key, connection);
         }
     }
 
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -14,12 +14,12 @@
 impl Job<'_> {
     /// The endpoint of the next attempt: the one with a copy of the run, or the best.
     pub(super) fn next_choice(&mut self) -> Option<Choice> {
-        if self.takes_over {
-            return self.choose(|key| Some(key) == self.copy);
+        if self.resumes_from_copy {
+            return self.choose(|key| Some(key) == self.copy_endpoint);
         }
         let choice = self.choose(|key| !self.tried.contains(&key))?;
-        self.note_read(&choice);
-        self.pick_copy(&choice);
+        self.record_most_urgent_band(&choice);
+        self.choose_copy_endpoint(&choice);
         Some(choice)
     }
 
@@ -53,9 +53,9 @@
     }
 
     /// Why a request that no endpoint has yet is not sent; `None` where it is.
-    pub(super) fn turned_away(&self, choice: &Choice) -> Option<RefusalReason> {
+    pub(super) fn admission_refusal(&self, choice: &Choice) -> Option<RefusalReason> {
         let is_plain = self.catalog.pool(&self.pool)?.engine.is_none();
-        if !is_plain && self.leaves_room(choice) {
+        if !is_plain && self.must_leave_room(choice) {
             let sent_percent = (choice.sent_part.min(1.0) * 100.0) as u32;
             return Some(RefusalReason::RoomKept { sent_percent });
         }
@@ -77,7 +77,7 @@
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
             tightest: self.catalog.shortest_target(&self.pool),
-            left: self.end - self.entry.clock.now(),
+            left: self.deadline - self.entry.clock.now(),
             less_urgent: self.catalog.longest_less_urgent_timeout(&self.pool, band),
             has_more_urgent: self.has_more_urgent(self.entry.clock.now()),
         }
--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -13,82 +13,85 @@
 
 /// Tokens of a run's memory for each token of its answer up to which a copy is worth its way: the
 /// answer's length is the time for which the run can be lost, the memory is what has to be moved.
-const COPY_RATIO: u64 = 8;
+const MAX_MEMORY_PER_ANSWER_TOKEN: u64 = 8;
 
 /// Silence, in pauses that the route allows, after which an endpoint is asked whether it is there.
 /// Within less, engines that are only busy would lose their streams.
-const SILENT_PAUSES: u64 = 2;
+const CHECK_AFTER_PAUSES: u64 = 2;
 
 impl Job<'_> {
     /// Picks the endpoint that keeps a copy of the run that `choice` begins, where that is worth it.
-    pub(super) fn pick_copy(&mut self, choice: &Choice) {
-        let other = |key| {
+    pub(super) fn choose_copy_endpoint(&mut self, choice: &Choice) {
+        let is_candidate = |key| {
             let is_free = self.entry.limit(key).is_none();
             key != choice.key && !self.tried.contains(&key) && is_free
         };
-        let copy = self.is_worth_copy().then(|| self.choose(other));
-        self.copy = copy.flatten().map(|choice| choice.key);
+        let copy = self.is_copy_worthwhile().then(|| self.choose(is_candidate));
+        self.copy_endpoint = copy.flatten().map(|choice| choice.key);
     }
 
     /// Whether the run is a stream whose answer is long beside its prompt.
-    fn is_worth_copy(&self) -> bool {
+    fn is_copy_worthwhile(&self) -> bool {
         let prompt: u64 = self.ask.parts.iter().map(|part| part.tokens).sum();
         let answer = self.ask.output_tokens;
         let is_stream = matches!(self.route().shape, ResponseKind::Events { .. });
-        is_stream && prompt > 0 && prompt + answer <= COPY_RATIO * answer
+        is_stream && prompt > 0 && prompt + answer <= MAX_MEMORY_PER_ANSWER_TOKEN * answer
     }
 
     /// Identity of the endpoint that keeps a copy of the run, for the log.
-    pub(super) fn copy_id(&self) -> Option<String> {
+    pub(super) fn copy_endpoint_id(&self) -> Option<String> {
         let directory = self.entry.directory();
-        let copy = directory.get(self.copy?)?;
+        let copy = directory.get(self.copy_endpoint?)?;
         Some(copy.listed.id.clone())
     }
 
     /// Whether the run goes on from its copy, after the endpoint that made it was lost: it must be
     /// gone, since the run goes on in one place only. Counts against the retry budget.
-    pub(super) async fn may_take_over(&mut self) -> bool {
-        let Some(copy) = self.copy else {
+    pub(super) async fn try_resume_from_copy(&mut self) -> bool {
+        let Some(copy) = self.copy_endpoint else {
             return false;
         };
         let has_events = self.position.get().last_event.is_some();
         let now = self.entry.clock.now();
-        if !has_events || self.takes_over || !self.entry.directory().takes_work(copy, now) {
+        if !has_events || self.resumes_from_copy || !self.entry.directory().takes_work(copy, now) {
             return false;
         }
-        if !self.is_gone().await {
+        if !self.is_last_endpoint_gone().await {
             return false;
         }
         let now = self.entry.clock.now();
-        self.takes_over = now < self.end && self.take_retry(now);
-        self.takes_over
+        self.resumes_from_copy = now < self.deadline && self.take_retry(now);
+        self.resumes_from_copy
     }
 
     /// The next piece of a stream. Where the run has a copy, an endpoint that falls silent is asked
     /// whether it is still there: without power it would say nothing, and the stream could go on.
-    pub(super) async fn next_piece(
+    pub(super) async fn next_chunk(
         &self,
         reply: &mut Reply,
     ) -> Result<Option<Bytes>, ExchangeError> {
-        let silence = self.route().pause().filter(|_| self.copy.is_some());
-        let Some(pause) = silence else {
+        let pause_to_check = self
+            .route()
+            .pause()
+            .filter(|_| self.copy_endpoint.is_some());
+        let Some(pause) = pause_to_check else {
             return reply.chunk().await;
         };
-        let silence = Millis(pause.0 * SILENT_PAUSES);
+        let silence = Millis(pause.0 * CHECK_AFTER_PAUSES);
         tokio::select! {
-            piece = reply.chunk() => return piece,
+            chunk = reply.chunk() => return chunk,
             () = sleep(silence.duration()) => {}
         }
         tokio::select! {
-            piece = reply.chunk() => piece,
-            true = self.is_gone() => Err(ExchangeError::Lost),
+            chunk = reply.chunk() => chunk,
+            true = self.is_last_endpoint_gone() => Err(ExchangeError::Lost),
         }
     }
 
     /// Whether nothing listens any more where the request was sent last. The endpoint may have left
     /// the list and serve on.
-    async fn is_gone(&self) -> bool {
-        let Some(address) = self.sent_to else {
+    async fn is_last_endpoint_gone(&self) -> bool {
+        let Some(address) = self.last_address else {
             return false;
         };
         let connected = Connection::connect(address).await;
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -12,52 +12,58 @@
 use crate::direct::refuse::{self, AllowedRequest};
 
 /// Advice when to come back after a refusal, before its random addition.
-const COME_BACK: Millis = Millis(150);
+const RETRY_DELAY: Millis = Millis(150);
 /// Longest wait that is advised while all endpoints of a pool rest: others may join it before.
-const LONGEST_WAIT: Millis = Millis(10_000);
+const MAX_RETRY_DELAY: Millis = Millis(10_000);
 /// Part of the time left in which a caller comes back at the latest; callers wait no longer.
-const WAITS_PART: u64 = 4;
+const MAX_DELAY_DIVISOR: u64 = 4;
 /// Random addition, so that callers don't come back at the same instant.
-const COME_BACK_SPREAD_MS: u64 = 250;
+const RETRY_JITTER_MS: u64 = 250;
 
 /// When a caller comes back whose pool rests for a time, by the band of its urgency and a number drawn from 0 to 1: all that
 /// were refused meanwhile come in a time that grows with the rest, the more urgent ones first.
-fn after_rest(rest: Millis, band: usize, draw: f64) -> Millis {
-    let wait = rest.min(LONGEST_WAIT);
-    let spread = Millis(wait.0 / 2).max(Millis(COME_BACK_SPREAD_MS));
+fn delay_after_rest(rest: Millis, band: usize, draw: f64) -> Millis {
+    let wait = rest.min(MAX_RETRY_DELAY);
+    let spread = Millis(wait.0 / 2).max(Millis(RETRY_JITTER_MS));
     let part = (band as f64 + draw) / BANDS as f64;
     wait + Millis((spread.0 as f64 * part) as u64)
 }
 
 /// When a caller comes back of whose kind only a part is sent now: all that were refused come in a time that grows with their
 /// number, so that they don't take the room again of those that come meanwhile.
-fn after_crowd(sent_percent: u32, longest: Millis, draw: f64) -> Millis {
-    let spread = COME_BACK_SPREAD_MS * 100 / u64::from(sent_percent.max(1));
-    let spread = Millis(spread).min(longest - COME_BACK);
-    COME_BACK + Millis((spread.0 as f64 * draw) as u64)
+fn delay_after_partial_admission(sent_percent: u32, longest: Millis, draw: f64) -> Millis {
+    let spread = RETRY_JITTER_MS * 100 / u64::from(sent_percent.max(1));
+    let spread = Millis(spread).min(longest - RETRY_DELAY);
+    RETRY_DELAY + Millis((spread.0 as f64 * draw) as u64)
 }
 
 impl Job<'_> {
     /// Nothing ran anywhere, and nothing will.
     pub(super) async fn give_up(&self, answerer: &mut Answerer, why: RefusalReason) -> bool {
         if self.position.get().head_sent {
-            return self.broken();
+            return self.end_broken_stream();
         }
         let why = match why {
-            RefusalReason::NoEndpoint => self.without_endpoint(),
+            RefusalReason::NoEndpoint => self.no_endpoint_reason(),
             why => why,
         };
         let free = self.free_endpoints();
         if free > 0 {
             self.entry.gauges.refused_with_room(&self.pool);
         }
-        self.note_nothing(why);
+        self.record_refusal(why);
         let urgency = self.route().priority;
-        let noted = AllowedRequest {
+        let allowed_request = AllowedRequest {
             urgency,
             free_endpoints: free,
         };
-        refuse::log(self.entry, self.ask, self.incoming, why, Some(noted));
+        refuse::log(
+            self.entry,
+            self.ask,
+            self.incoming,
+            why,
+            Some(allowed_request),
+        );
         let outcome = match why {
             RefusalReason::Overload { .. } => "turned_away",
             RefusalReason::RoomKept { .. } => "room_kept",
@@ -69,14 +75,14 @@
         self.entry
             .gauges
             .request(&self.pool, Some(urgency), outcome);
-        let refusal = Refusal::NotRun(self.come_back(why));
+        let refusal = Refusal::NotRun(self.retry_delay(why));
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
     }
 
     /// Why no endpoint was found.
-    fn without_endpoint(&self) -> RefusalReason {
+    fn no_endpoint_reason(&self) -> RefusalReason {
         let now = self.entry.clock.now();
-        match (self.rest_left(), self.first_permit()) {
+        match (self.time_until_rested(), self.first_permit_at()) {
             (Some(rest), _) => RefusalReason::EndpointsRest {
                 first_back_ms: rest.0,
             },
@@ -88,26 +94,27 @@
     }
 
     /// When the caller is to come back.
-    fn come_back(&self, why: RefusalReason) -> Millis {
+    fn retry_delay(&self, why: RefusalReason) -> Millis {
         let mut random = rand::thread_rng();
-        let spread = random.gen_range(0..COME_BACK_SPREAD_MS);
-        match (why, self.rest_left()) {
+        let spread = random.gen_range(0..RETRY_JITTER_MS);
+        match (why, self.time_until_rested()) {
             (RefusalReason::EndsEndpoints { come_back_ms, .. }, _) => Millis(come_back_ms + spread),
             (RefusalReason::EndpointsLimited { first_free_ms }, _) => {
-                let wait = Millis(first_free_ms).max(COME_BACK);
-                after_rest(wait, self.band(), random.gen())
+                let wait = Millis(first_free_ms).max(RETRY_DELAY);
+                delay_after_rest(wait, self.band(), random.gen())
             }
-            (_, Some(rest)) => after_rest(rest, self.band(), random.gen()),
+            (_, Some(rest)) => delay_after_rest(rest, self.band(), random.gen()),
             (RefusalReason::RoomKept { sent_percent }, None) => {
-                let longest = Millis((self.end - self.entry.clock.now()).0 / WAITS_PART);
-                after_crowd(sent_percent, longest, random.gen())
+                let longest =
+                    Millis((self.deadline - self.entry.clock.now()).0 / MAX_DELAY_DIVISOR);
+                delay_after_partial_admission(sent_percent, longest, random.gen())
             }
-            (_, None) => COME_BACK + Millis(spread),
+            (_, None) => RETRY_DELAY + Millis(spread),
         }
     }
 
     /// Time until the first endpoint of the pool has rested; `None` where one takes requests, or none rests.
-    fn rest_left(&self) -> Option<Millis> {
+    fn time_until_rested(&self) -> Option<Millis> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
         if directory
@@ -137,20 +144,20 @@
     }
 
     /// It may have run.
-    pub(super) async fn lost(&self, answerer: &mut Answerer) -> bool {
+    pub(super) async fn end_with_unknown_outcome(&self, answerer: &mut Answerer) -> bool {
         if self.position.get().head_sent {
-            return self.broken();
+            return self.end_broken_stream();
         }
         self.log_ended(RequestOutcome::Unknown, 502);
         refuse::write(self.entry, answerer, Refusal::Unknown, Some(self.ask)).await
     }
 
     /// Its time is over.
-    pub(super) async fn time_over(&self, answerer: &mut Answerer) -> bool {
+    pub(super) async fn end_at_deadline(&self, answerer: &mut Answerer) -> bool {
         if self.position.get().head_sent {
-            return self.broken();
+            return self.end_broken_stream();
         }
-        if !self.sent {
+        if !self.may_have_run {
             return self.give_up(answerer, RefusalReason::TimeOver).await;
         }
         self.log_ended(RequestOutcome::TimeOver, 504);
@@ -158,7 +165,7 @@
     }
 
     /// A stream that began can't be completed; its connection is closed without its end.
-    fn broken(&self) -> bool {
+    fn end_broken_stream(&self) -> bool {
         self.log_ended(RequestOutcome::Broken, 0);
         false
     }
--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -32,16 +32,16 @@
             expected_ms: choice.expected_ms as u64,
             cached: choice.supply.kept,
             moved: choice.supply.moved,
-            moved_from: self.source_id(choice),
+            moved_from: self.source_endpoint_id(choice),
             unread: choice.footprint.unread,
             running,
             catalog: self.catalog.version,
             proof_age_ms: self.entry.proof_age().map(|age| age.0),
-            left_ms: (self.end - now).0,
+            left_ms: (self.deadline - now).0,
             against,
             limit_per_s: limit.map(Rate::per_s),
-            copy: self.copy_id(),
-            takes_over: self.takes_over,
+            copy: self.copy_endpoint_id(),
+            takes_over: self.resumes_from_copy,
         };
         self.entry.log.request(self.ask.id.as_bytes(), placed);
         let urgency = self.route().priority;
@@ -49,7 +49,7 @@
     }
 
     /// Identity of the endpoint that parts of the prompt are taken from.
-    fn source_id(&self, choice: &Choice) -> Option<String> {
+    fn source_endpoint_id(&self, choice: &Choice) -> Option<String> {
         let directory = self.entry.directory();
         let source = directory.get(choice.supply.from?)?;
         Some(source.listed.id.clone())
@@ -73,7 +73,7 @@
             running: account.map(|account| account.load.total(now).running.saturating_sub(1)),
             slots: listed.map(|listed| listed.slots),
             fingerprint: if may_have_run {
-                self.request.to_string()
+                self.fingerprint.to_string()
             } else {
                 String::new()
             },
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -33,19 +33,19 @@
 use crate::fingerprint::Fingerprint;
 
 /// Time beyond a request's own in which the endpoint's last word is still waited for.
-const OVERTIME: Millis = Millis(60);
+const ANSWER_GRACE: Millis = Millis(60);
 /// Endpoints that may turn out unreachable before a request is given up; nothing was sent to them.
-const MOST_UNREACHABLE: u32 = 4;
+const MAX_UNREACHABLE: u32 = 4;
 
 /// How an attempt ended.
 #[derive(Debug)]
-enum Attempt {
+enum AttemptOutcome {
     /// The answer was delivered, or as much of it as there will be; whether the connection is kept.
-    Over(bool),
+    Delivered(bool),
     /// Nothing was sent to this endpoint.
     NotSent(EndpointKey),
     /// Since it was chosen, the endpoint has turned out to take no more requests for now; nothing was sent.
-    Withdrawn(EndpointKey),
+    NotAccepting(EndpointKey),
     /// The endpoint did not run it.
     NotRun(EndpointKey),
     /// It may have run.
@@ -53,13 +53,13 @@
     /// There is no endpoint to try.
     NoEndpoint,
     /// It is not sent, since it would wait too long.
-    TurnedAway(RefusalReason),
+    NotAdmitted(RefusalReason),
     /// It is no longer allowed.
     Denied(Denied),
     /// Another copy of what it asks for has begun to run, and comes first.
-    Waits,
+    CopyRunning,
     /// The endpoint's limit is used up for now.
-    Limited,
+    NoPermit,
     /// The time was over.
     TimeOver,
     /// The caller can't be written to.
@@ -78,31 +78,31 @@
     /// Its route and team there.
     allowed: Allowed,
     /// What it asks for.
-    request: Fingerprint,
+    fingerprint: Fingerprint,
     /// When it began to run under suspicion, for others that ask for the same.
-    turn: Option<Millis>,
+    turn_started: Option<Millis>,
     /// The permit that it has, of an endpoint with a limit.
     permit: Option<Permit>,
     /// Permits that it has asked for in vain since it waited last.
-    refusals: u32,
+    permit_refusals: u32,
     /// Until when it waits for a permit, once it has found none.
-    permit_by: Option<Millis>,
+    permit_deadline: Option<Millis>,
     /// Name of the pool whose endpoints it is sent to.
     pool: String,
     /// When its time is over.
-    end: Millis,
+    deadline: Millis,
     /// Endpoints that it is not sent to again.
     tried: Vec<EndpointKey>,
     /// Attempts that count: sent, or about to be.
     attempts: u32,
     /// Whether an endpoint may have run any of it.
-    sent: bool,
+    may_have_run: bool,
     /// Where it was sent last.
-    sent_to: Option<SocketAddr>,
+    last_address: Option<SocketAddr>,
     /// Endpoint that keeps a copy of the run's memory.
-    copy: Option<EndpointKey>,
+    copy_endpoint: Option<EndpointKey>,
     /// Whether the run is to go on from that copy.
-    takes_over: bool,
+    resumes_from_copy: bool,
     /// How far its answer has got; kept also when an attempt is dropped at the time limit.
     position: Cell<StreamPosition>,
 }
@@ -120,33 +120,33 @@
         let route = &catalog.routes[allowed.route.0];
         let pool = pick_pool(route);
         let caller_timeout = ask.caller_timeout.unwrap_or(route.timeout);
-        let end = incoming.received_at + caller_timeout.min(route.timeout);
+        let deadline = incoming.received_at + caller_timeout.min(route.timeout);
         let team = allowed.team.map(|team| catalog.teams[team.0].name.as_str());
-        let request = fingerprint(team, ask, incoming);
-        let mut noted = progress.borrow_mut();
-        noted.route.clone_from(&route.name);
-        noted.pool.clone_from(&pool);
-        noted.urgency = Some(route.priority);
-        drop(noted);
+        let fingerprint = request_fingerprint(team, ask, incoming);
+        let mut recorded = progress.borrow_mut();
+        recorded.route.clone_from(&route.name);
+        recorded.pool.clone_from(&pool);
+        recorded.urgency = Some(route.priority);
+        drop(recorded);
         Self {
             entry,
             incoming,
             ask,
             progress,
             allowed,
-            request,
-            turn: None,
+            fingerprint,
+            turn_started: None,
             permit: None,
-            refusals: 0,
-            permit_by: None,
+            permit_refusals: 0,
+            permit_deadline: None,
             pool,
-            end,
+            deadline,
             tried: Vec::new(),
             attempts: 0,
-            sent: false,
-            sent_to: None,
-            copy: None,
-            takes_over: false,
+            may_have_run: false,
+            last_address: None,
+            copy_endpoint: None,
+            resumes_from_copy: false,
             position: Cell::new(StreamPosition {
                 last_event: ask.last_event,
                 ..StreamPosition::default()
@@ -173,11 +173,11 @@
     }
 
     /// Until when the endpoint's last word is waited for, somewhat beyond the request's own time.
-    fn last_word(&self) -> Millis {
-        self.end + OVERTIME
+    fn answer_deadline(&self) -> Millis {
+        self.deadline + ANSWER_GRACE
     }
 
-    fn has_attempts(&self) -> bool {
+    fn has_attempts_left(&self) -> bool {
         self.attempts < self.route().max_attempts
     }
 
@@ -203,61 +203,65 @@
 
     /// Runs it to its end; false when the connection is to be closed.
     pub async fn run(&mut self, answerer: &mut Answerer) -> bool {
-        self.count_first();
+        self.count_request();
         let mut unreachable = 0;
         loop {
-            let sent_before = self.sent;
+            let ran_before = self.may_have_run;
             match self.attempt(answerer).await {
-                Attempt::Over(kept) => return kept,
-                Attempt::CallerGone => {
+                AttemptOutcome::Delivered(kept) => return kept,
+                AttemptOutcome::CallerGone => {
                     self.log_ended(RequestOutcome::CallerGone, 0);
                     return false;
                 }
-                Attempt::NotSent(key) => {
+                AttemptOutcome::NotSent(key) => {
                     self.tried.push(key);
                     unreachable += 1;
-                    if unreachable >= MOST_UNREACHABLE {
+                    if unreachable >= MAX_UNREACHABLE {
                         return self.give_up(answerer, RefusalReason::NoEndpoint).await;
                     }
                 }
                 // It is no sign that others can't be reached, so it does not count as one.
-                Attempt::Withdrawn(key) => self.tried.push(key),
-                Attempt::NotRun(key) => {
+                AttemptOutcome::NotAccepting(key) => self.tried.push(key),
+                AttemptOutcome::NotRun(key) => {
                     // Its caller would be told 502 otherwise, as if it might have run, once no endpoint is left.
-                    self.sent = sent_before;
+                    self.may_have_run = ran_before;
                     self.tried.push(key);
-                    if !self.may_go_on() {
+                    if !self.may_retry() {
                         return self.give_up(answerer, RefusalReason::EndpointRefused).await;
                     }
                 }
-                Attempt::Lost(key) => {
+                AttemptOutcome::Lost(key) => {
                     self.tried.push(key);
-                    if self.may_take_over().await {
+                    if self.try_resume_from_copy().await {
                         continue;
                     }
-                    if !(self.may_repeat() && self.may_go_on()) {
-                        return self.lost(answerer).await;
+                    if !(self.may_repeat() && self.may_retry()) {
+                        return self.end_with_unknown_outcome(answerer).await;
                     }
                 }
-                Attempt::Waits | Attempt::Limited => {}
-                Attempt::TurnedAway(_) if self.sent => return self.lost(answerer).await,
-                Attempt::TurnedAway(why) => return self.give_up(answerer, why).await,
-                Attempt::NoEndpoint if self.sent => return self.lost(answerer).await,
-                Attempt::NoEndpoint => {
+                AttemptOutcome::CopyRunning | AttemptOutcome::NoPermit => {}
+                AttemptOutcome::NotAdmitted(_) if self.may_have_run => {
+                    return self.end_with_unknown_outcome(answerer).await
+                }
+                AttemptOutcome::NotAdmitted(why) => return self.give_up(answerer, why).await,
+                AttemptOutcome::NoEndpoint if self.may_have_run => {
+                    return self.end_with_unknown_outcome(answerer).await
+                }
+                AttemptOutcome::NoEndpoint => {
                     return self.give_up(answerer, RefusalReason::NoEndpoint).await
                 }
-                Attempt::Denied(denied) if !self.sent => {
+                AttemptOutcome::Denied(denied) if !self.may_have_run => {
                     return refuse::deny(self.entry, answerer, self.ask, self.incoming, denied)
                         .await
                 }
-                Attempt::Denied(_) => return self.lost(answerer).await,
-                Attempt::TimeOver => return self.time_over(answerer).await,
+                AttemptOutcome::Denied(_) => return self.end_with_unknown_outcome(answerer).await,
+                AttemptOutcome::TimeOver => return self.end_at_deadline(answerer).await,
             }
         }
     }
 
     /// Counts the request in the pool's retry budget.
-    fn count_first(&self) {
+    fn count_request(&self) {
         let now = self.entry.clock.now();
         let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let mut retries = self.entry.retries.borrow_mut();
@@ -266,9 +270,9 @@
     }
 
     /// Whether the request may be sent to another endpoint, after one had it.
-    fn may_go_on(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let now = self.entry.clock.now();
-        self.has_attempts() && now < self.end && self.take_retry(now)
+        self.has_attempts_left() && now < self.deadline && self.take_retry(now)
     }
 
     /// Whether the retry budget of all entries allows one more; counts it.
@@ -282,7 +286,11 @@
 }
 
 /// What a request asks for.
-fn fingerprint(team: Option<&str>, ask: &ParsedRequest, incoming: &IncomingRequest) -> Fingerprint {
+fn request_fingerprint(
+    team: Option<&str>,
+    ask: &ParsedRequest,
+    incoming: &IncomingRequest,
+) -> Fingerprint {
     let head = &incoming.head;
     let target = head.uri.path_and_query();
     let target = target.map_or("", |target| target.as_str());
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -1,17 +1,17 @@
 //! Permits for endpoints that have named a limit for all instances together: none is sent to without one, by whatever way.
 
-use super::{Attempt, Job};
+use super::{AttemptOutcome, Job};
 use crate::clock::Millis;
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::limits::Step;
 
 /// Time in which a permit is to be used: to open a connection takes less, and a process that stood still meanwhile does not
 /// send later what others have got since.
-const LASTS: Millis = Millis(300);
+const PERMIT_VALIDITY: Millis = Millis(300);
 /// Permits that a request asks for in vain before it leaves endpoints with limits to others.
-const MOST_REFUSALS: u32 = 3;
+const MAX_PERMIT_REFUSALS: u32 = 3;
 /// Part of the route's target that a request waits for a permit, where no endpoint is without a limit.
-const WAIT_PART: u64 = 4;
+const PERMIT_WAIT_DIVISOR: u64 = 4;
 /// Time by which a less urgent band waits longer, so that the more urgent ones of this entry ask first.
 const BAND_STEP: Millis = Millis(5);
 
@@ -32,7 +32,7 @@
         let is_permitted = match self.entry.permit(key, self.band()).await {
             Step::Unlimited => true,
             Step::Permitted => {
-                let until = asked + LASTS;
+                let until = asked + PERMIT_VALIDITY;
                 self.permit = Some(Permit {
                     endpoint: key,
                     until,
@@ -41,7 +41,7 @@
             }
             Step::Wait(_) | Step::Ask(_) => false,
         };
-        self.refusals += u32::from(!is_permitted);
+        self.permit_refusals += u32::from(!is_permitted);
         is_permitted
     }
 
@@ -55,30 +55,30 @@
         let Some(ask_at) = self.entry.permit_at(endpoint.digest, self.band()) else {
             return true;
         };
-        ask_at <= now && self.refusals < MOST_REFUSALS
+        ask_at <= now && self.permit_refusals < MAX_PERMIT_REFUSALS
     }
 
     /// Waits until a permit may be asked for, where only that keeps the request from being sent; else there is no endpoint.
-    pub(super) async fn wait_for_permit(&mut self) -> Attempt {
+    pub(super) async fn wait_for_permit(&mut self) -> AttemptOutcome {
         let now = self.entry.clock.now();
-        let Some(first) = self.first_permit() else {
-            return Attempt::NoEndpoint;
+        let Some(first) = self.first_permit_at() else {
+            return AttemptOutcome::NoEndpoint;
         };
-        let wait = Millis(self.route().target.0 / WAIT_PART);
-        let wait_until = *self.permit_by.get_or_insert(now + wait);
+        let wait = Millis(self.route().target.0 / PERMIT_WAIT_DIVISOR);
+        let wait_until = *self.permit_deadline.get_or_insert(now + wait);
         let at = first.max(now) + Millis(BAND_STEP.0 * (1 + self.band() as u64));
-        if at > wait_until.min(self.end) {
-            return Attempt::NoEndpoint;
+        if at > wait_until.min(self.deadline) {
+            return AttemptOutcome::NoEndpoint;
         }
         let waiting = self.entry.wait_for_permits();
         self.entry.clock.sleep_until(at).await;
         drop(waiting);
-        self.refusals = 0;
-        Attempt::Limited
+        self.permit_refusals = 0;
+        AttemptOutcome::NoPermit
     }
 
     /// When a permit for an endpoint of the pool may be asked for first; `None` where no endpoint is kept from it by a limit.
-    pub(super) fn first_permit(&self) -> Option<Millis> {
+    pub(super) fn first_permit_at(&self) -> Option<Millis> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
         let settings = self.entry.settings.borrow();
@@ -95,8 +95,8 @@
     /// The permit for an attempt is used; another attempt waits for its own.
     pub(super) fn use_permit(&mut self) {
         self.permit = None;
-        self.permit_by = None;
-        self.refusals = 0;
+        self.permit_deadline = None;
+        self.permit_refusals = 0;
     }
 
     fn has_permit(&self, key: EndpointKey) -> bool {
--- a/src/direct/job/room.rs
+++ b/src/direct/job/room.rs
@@ -9,11 +9,11 @@
 impl Job<'_> {
     /// Whether a request that no endpoint has begun is not sent, since all slots that are free are left to more urgent ones. A
     /// second attempt is no reason to begin before them.
-    pub(super) fn leaves_room(&self, choice: &Choice) -> bool {
+    pub(super) fn must_leave_room(&self, choice: &Choice) -> bool {
         let now = self.entry.clock.now();
         let is_drawn = rand::random::<f64>() < choice.sent_part;
         let leaves = self.has_more_urgent(now) && !self.has_less_urgent(now);
-        leaves && !self.sent && !(choice.has_room && is_drawn)
+        leaves && !self.may_have_run && !(choice.has_room && is_drawn)
     }
 
     /// Whether more urgent kinds of requests of the pool were seen lately.
@@ -45,13 +45,13 @@
     }
 
     /// Takes note that the request comes to its pool.
-    pub(super) fn note_coming(&self) {
+    pub(super) fn record_arrival(&self) {
         let (band, now) = (self.band(), self.entry.clock.now());
         self.entry.turnover(&self.pool, |t| t.come(band, now));
     }
 
     /// Takes note of the most urgent requests at the pool's endpoints, of all entries.
-    pub(super) fn note_read(&self, choice: &Choice) {
+    pub(super) fn record_most_urgent_band(&self, choice: &Choice) {
         if let Some(band) = choice.read_band {
             let now = self.entry.clock.now();
             self.entry.turnover(&self.pool, |t| t.see(band, now));
@@ -59,13 +59,13 @@
     }
 
     /// Takes note that an endpoint turned the request away for want of room.
-    pub(super) fn note_turned_away(&self) {
+    pub(super) fn record_endpoint_refusal(&self) {
         let now = self.entry.clock.now();
         self.entry.turnover(&self.pool, |t| t.turn_away(now));
     }
 
     /// Takes note that the request gets nothing, where that is for want of room.
-    pub(super) fn note_nothing(&self, why: RefusalReason) {
+    pub(super) fn record_refusal(&self, why: RefusalReason) {
         let is_for_room = matches!(
             why,
             RefusalReason::Overload { .. }
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -5,8 +5,8 @@
 
 use actix_http::{RequestHead, ResponseHead};
 
-use super::answer::Answered;
-use super::{Attempt, Job};
+use super::answer::ReceivedAnswer;
+use super::{AttemptOutcome, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::catalog::PoolShare;
@@ -21,81 +21,82 @@
 use crate::direct::resolve::{Allowed, Denied};
 
 /// Silence of an endpoint, in targets of the route, after which it is taken for unreachable.
-const SILENT_TARGETS: u64 = 3;
+const UNREACHABLE_AFTER_TARGETS: u64 = 3;
 /// Least such silence.
-const SILENT_LEAST: Millis = Millis(300);
+const MIN_SILENCE: Millis = Millis(300);
 
 impl Job<'_> {
     /// Sends the request to one more endpoint and relays its answer.
-    pub(super) async fn attempt(&mut self, answerer: &mut Answerer) -> Attempt {
+    pub(super) async fn attempt(&mut self, answerer: &mut Answerer) -> AttemptOutcome {
         if let Some(why) = self.wait_for_turn().await {
-            return Attempt::TurnedAway(why);
+            return AttemptOutcome::NotAdmitted(why);
         }
-        self.note_coming();
+        self.record_arrival();
         let Some(choice) = self.next_choice() else {
             return self.wait_for_permit().await;
         };
-        if let Some(why) = self.turned_away(&choice) {
-            return Attempt::TurnedAway(why);
+        if let Some(why) = self.admission_refusal(&choice) {
+            return AttemptOutcome::NotAdmitted(why);
         }
         let key = choice.key;
         if !self.take_permit(key).await {
-            return Attempt::Limited;
+            return AttemptOutcome::NoPermit;
         }
-        let Some(channel) = self.open(key).await else {
+        let Some(connection) = self.open_connection(key).await else {
             self.entry
                 .endpoint_failed(key, Fault::Contact, "no connection");
-            return Attempt::NotSent(key);
+            return AttemptOutcome::NotSent(key);
         };
         // Nothing is awaited between here and the first byte that leaves.
         let now = self.entry.clock.now();
-        if now >= self.end {
-            return Attempt::TimeOver;
+        if now >= self.deadline {
+            return AttemptOutcome::TimeOver;
         }
         if !self.may_send(key, now) {
-            self.entry.keep_channel(key, channel);
-            return Attempt::Withdrawn(key);
+            self.entry.keep_channel(key, connection);
+            return AttemptOutcome::NotAccepting(key);
         }
         // It may have named its limit since it was chosen.
         if !self.is_within_limit(key) {
-            self.entry.keep_channel(key, channel);
-            return Attempt::Limited;
+            self.entry.keep_channel(key, connection);
+            return AttemptOutcome::NoPermit;
         }
         match self.entry.allow(self.ask) {
-            Ok(allowed) if self.renew(allowed) => {}
-            Ok(_) => return Attempt::Denied(Denied::StaleCatalog),
-            Err(denied) => return Attempt::Denied(denied),
+            Ok(allowed) if self.refresh_catalog(allowed) => {}
+            Ok(_) => return AttemptOutcome::Denied(Denied::StaleCatalog),
+            Err(denied) => return AttemptOutcome::Denied(denied),
         }
         if !self.take_turn(now) {
-            self.entry.keep_channel(key, channel);
-            return Attempt::Waits;
+            self.entry.keep_channel(key, connection);
+            return AttemptOutcome::CopyRunning;
         }
         self.use_permit();
         self.attempts += 1;
-        self.sent_to = self.entry.directory().get(key).map(|e| e.listed.address);
-        self.send(answerer, channel, choice, now).await
+        self.last_address = self.entry.directory().get(key).map(|e| e.listed.address);
+        self.send(answerer, connection, choice, now).await
     }
 
     /// Takes over the configuration in force now; false where that treats the request otherwise
     /// than the one that it began under.
-    fn renew(&mut self, allowed: Allowed) -> bool {
+    fn refresh_catalog(&mut self, allowed: Allowed) -> bool {
         let Some(catalog) = self.entry.catalog() else {
             return false;
         };
-        let sends_here = |share: &PoolShare| share.pool == self.pool;
+        let is_own_pool = |share: &PoolShare| share.pool == self.pool;
         let route = &catalog.routes[allowed.route.0];
-        let same = route.shares.iter().any(sends_here) && route.shape == self.route().shape;
-        if same {
+        let is_same_treatment =
+            route.shares.iter().any(is_own_pool) && route.shape == self.route().shape;
+        if is_same_treatment {
             self.catalog = catalog;
             self.allowed = allowed;
         }
-        same
+        is_same_treatment
     }
 
     /// A connection to an endpoint: a kept one that is quiet, or a new one.
-    async fn open(&self, key: EndpointKey) -> Option<Connection> {
-        if let Some(channel) = self.entry.idle_channel(key) {
-            return Some(channel);
+    async fn open_connection(&self, key: EndpointKey) -> Option<Connection> {
+        if let Some(connection) = self.entry.idle_channel(key) {
+            return Some(connection);
         }
         let address = self.entry.directory().get(key)?.listed.address;
         self.entry.gauges.connection();
@@ -110,51 +111,51 @@
     async fn send(
         &mut self,
         answerer: &mut Answerer,
-        channel: Connection,
+        connection: Connection,
         choice: Choice,
         now: Millis,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let key = choice.key;
-        let Some(head) = self.endpoint_request(&choice, now) else {
-            return Attempt::NotSent(key);
+        let Some(head) = self.request_head(&choice, now) else {
+            return AttemptOutcome::NotSent(key);
         };
-        self.note_placement(&choice);
-        let placed = self
+        self.record_placement(&choice);
+        let run_guard = self
             .entry
-            .place(key, &self.pool, choice.footprint, self.request);
-        let is_own = |head: &ResponseHead| self.is_own(key, head);
-        let sending = channel.send(head, &self.incoming.body, is_own);
-        let reply = match self.wait(sending, key, now).await {
+            .place(key, &self.pool, choice.footprint, self.fingerprint);
+        let is_own = |head: &ResponseHead| self.is_own_answer(key, head);
+        let sending = connection.send(head, &self.incoming.body, is_own);
+        let reply = match self.wait_for_head(sending, key, now).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(ExchangeError::Refused | ExchangeError::Connect | ExchangeError::NotSent)) => {
-                placed.undecided();
+                run_guard.undecided();
                 self.attempts -= 1;
                 self.log_failed(key, "connection failed before sending", false);
-                return Attempt::NotSent(key);
+                return AttemptOutcome::NotSent(key);
             }
             Ok(Err(ExchangeError::Lost)) => {
-                placed.broken();
-                self.sent = true;
-                return self.failed(key, Fault::Answer, "connection lost");
+                run_guard.broken();
+                self.may_have_run = true;
+                return self.record_failure(key, Fault::Answer, "connection lost");
             }
             Err(ended) => {
-                self.sent = true;
+                self.may_have_run = true;
                 return ended;
             }
         };
-        self.sent = true;
-        let answered = Answered {
+        self.may_have_run = true;
+        let answer = ReceivedAnswer {
             reply,
             choice,
-            placed: &placed,
+            run_guard: &run_guard,
             sent_at: now,
         };
-        self.answered(answerer, answered).await
+        self.handle_answer(answerer, answer).await
     }
 
     /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
     /// endpoint announces in it holds all the same.
-    fn is_own(&self, key: EndpointKey, head: &ResponseHead) -> bool {
+    fn is_own_answer(&self, key: EndpointKey, head: &ResponseHead) -> bool {
         let response_info = self.entry.dialect.response_info(head, &self.ask.id);
         if !response_info.is_own {
             let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
@@ -167,11 +168,13 @@
     }
 
     /// The head that the endpoint gets; `None` when it has left the list.
-    fn endpoint_request(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
+    fn request_head(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
         self.log_placed(choice, &endpoint.listed.id, now);
-        let copy = self.copy.filter(|key| directory.takes_work(*key, now));
+        let copy = self
+            .copy_endpoint
+            .filter(|key| directory.takes_work(*key, now));
         let copy = copy.and_then(|key| directory.get(key));
         let copy = copy.map(|e| e.listed.address);
         let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
@@ -179,16 +182,16 @@
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let endpoint_request = EndpointRequest {
             endpoint: &endpoint.listed.id,
-            time_left: self.end - now,
+            time_left: self.deadline - now,
             team: team.map(|team| team.name.as_str()),
             priority: Some(load::urgency_at_endpoint(
                 self.route().priority,
                 self.priority(),
             )),
             last_event: self.position.get().last_event,
-            fetch_from: fetch_from.filter(|_| !self.takes_over),
-            copy_to: copy.filter(|_| !self.takes_over),
-            copy_of: copy.filter(|_| self.takes_over),
+            fetch_from: fetch_from.filter(|_| !self.resumes_from_copy),
+            copy_to: copy.filter(|_| !self.resumes_from_copy),
+            copy_of: copy.filter(|_| self.resumes_from_copy),
         };
         Some(
             self.entry
@@ -198,7 +201,7 @@
     }
 
     /// Remembers where the parts of the prompt are now, also for peers.
-    fn note_placement(&self, choice: &Choice) {
+    fn record_placement(&self, choice: &Choice) {
         let now = self.entry.clock.now();
         let parts = &self.ask.parts;
         let mut prefixes = self.entry.prefixes.borrow_mut();
@@ -219,36 +222,36 @@
     }
 
     /// Waits for the head of the answer; a silent endpoint is left where that is harmless.
-    async fn wait(
+    async fn wait_for_head(
         &self,
         sending: impl Future<Output = Result<Reply, ExchangeError>>,
         key: EndpointKey,
         sent_at: Millis,
-    ) -> Result<Result<Reply, ExchangeError>, Attempt> {
+    ) -> Result<Result<Reply, ExchangeError>, AttemptOutcome> {
         let mut sending = pin!(sending);
-        let silent = Millis(self.route().target.0 * SILENT_TARGETS).max(SILENT_LEAST);
+        let silent = Millis(self.route().target.0 * UNREACHABLE_AFTER_TARGETS).max(MIN_SILENCE);
         let clock = &self.entry.clock;
         let silent_at = sent_at + silent;
-        let last_word = self.last_word();
+        let answer_deadline = self.answer_deadline();
         if let Some(reply) = clock
-            .timeout_at(silent_at.min(last_word), &mut sending)
+            .timeout_at(silent_at.min(answer_deadline), &mut sending)
             .await
         {
             return Ok(reply);
         }
-        if !self.was_heard(key, sent_at) && silent_at < last_word {
+        if !self.was_heard_since(key, sent_at) && silent_at < answer_deadline {
             self.entry.endpoint_failed(key, Fault::Contact, "silent");
-            if self.may_repeat() && self.has_attempts() {
+            if self.may_repeat() && self.has_attempts_left() {
                 self.log_failed(key, "silent", true);
-                return Err(Attempt::Lost(key));
+                return Err(AttemptOutcome::Lost(key));
             }
         }
-        let reply = clock.timeout_at(last_word, sending).await;
-        reply.ok_or(Attempt::TimeOver)
+        let reply = clock.timeout_at(answer_deadline, sending).await;
+        reply.ok_or(AttemptOutcome::TimeOver)
     }
 
     /// Whether anything was heard of an endpoint since a time.
-    fn was_heard(&self, key: EndpointKey, since: Millis) -> bool {
+    fn was_heard_since(&self, key: EndpointKey, since: Millis) -> bool {
         let mut heard = Millis(0);
         self.entry.account(key, |account| heard = account.heard);
         heard > since
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -10,10 +10,10 @@
 use crate::quarantine::{QuarantineStatus, ENDS_TO_SEPARATE};
 
 /// Ends in a row from which on a copy is turned away, rather than sent, when it has waited in vain for another one.
-const ENDS_TO_TURN_AWAY: usize = ENDS_TO_SEPARATE;
+const ENDS_TO_REFUSE_AFTER_WAIT: usize = ENDS_TO_SEPARATE;
 /// Time over which entries spread the turns of requests with so many ends, in ms: an end wakes those that wait at all
 /// entries at once, and who begins first is told to the others some milliseconds later.
-const TURNS_SPREAD_MS: u64 = 60;
+const TURN_JITTER_MS: u64 = 60;
 
 impl Job<'_> {
     /// Waits while a copy of the request that is under suspicion runs somewhere; why it is not sent, where it is not.
@@ -21,36 +21,36 @@
     /// It waits as long as it may and still be in time: most that wait are innocent and get their turn within
     /// the time of one answer.
     pub(super) async fn wait_for_turn(&self) -> Option<RefusalReason> {
-        let wait_until = (self.incoming.received_at + self.route().target).min(self.end);
-        let mut is_spread = false;
+        let wait_until = (self.incoming.received_at + self.route().target).min(self.deadline);
+        let mut is_delayed = false;
         loop {
             // Registered before the look, so that no change is missed.
             let changed = self.entry.quarantine_changed.notified();
-            if self.is_checked() {
+            if self.is_end_being_checked() {
                 changed.await;
                 continue;
             }
             let now = self.entry.clock.now();
-            let (ends, until) = match self.entry.request_status(self.request) {
-                QuarantineStatus::Suspect { ends } if ends >= ENDS_TO_SEPARATE && !is_spread => {
-                    is_spread = true;
-                    let spread = Millis(rand::thread_rng().gen_range(0..TURNS_SPREAD_MS));
-                    let at = self.entry.clock.now() + spread;
+            let (ends, until) = match self.entry.request_status(self.fingerprint) {
+                QuarantineStatus::Suspect { ends } if ends >= ENDS_TO_SEPARATE && !is_delayed => {
+                    is_delayed = true;
+                    let jitter = Millis(rand::thread_rng().gen_range(0..TURN_JITTER_MS));
+                    let at = self.entry.clock.now() + jitter;
                     self.entry.clock.sleep_until(at).await;
                     continue;
                 }
                 QuarantineStatus::Clear | QuarantineStatus::Suspect { .. } => return None,
                 QuarantineStatus::MustWait { began, .. } if self.is_own_turn(began) => return None,
                 QuarantineStatus::Refused { ends, until } => {
-                    return Some(self.ends_endpoints(ends, until))
+                    return Some(self.ends_endpoints_refusal(ends, until))
                 }
                 QuarantineStatus::MustWait { ends, until, .. } => (ends, until),
             };
             if now >= wait_until {
-                let is_refused = ends >= ENDS_TO_TURN_AWAY;
-                return is_refused.then(|| self.ends_endpoints(ends, until));
+                let is_refused = ends >= ENDS_TO_REFUSE_AFTER_WAIT;
+                return is_refused.then(|| self.ends_endpoints_refusal(ends, until));
             }
-            is_spread = false;
+            is_delayed = false;
             let wait = until.min(wait_until);
             // Whether something changed or the time is over, it looks again.
             let _ = self.entry.clock.timeout_at(wait, changed).await;
@@ -59,7 +59,7 @@
 
     /// Whether it is being found out if the endpoint has ended that lost the last run. Sent on before that is known, a
     /// request that ends endpoints would end a second one for each of its own.
-    fn is_checked(&self) -> bool {
+    fn is_end_being_checked(&self) -> bool {
         let last = self.tried.last();
         let accounts = self.entry.accounts();
         last.and_then(|key| accounts.get(*key))
@@ -69,19 +69,19 @@
     /// Takes the turn of a request under suspicion just before it is sent; false where another copy was first, or
     /// it is refused by now.
     pub(super) fn take_turn(&mut self, now: Millis) -> bool {
-        match self.entry.request_status(self.request) {
+        match self.entry.request_status(self.fingerprint) {
             QuarantineStatus::Clear => true,
             QuarantineStatus::MustWait { began, .. } if self.is_own_turn(began) => true,
             QuarantineStatus::Refused { .. } => false,
-            QuarantineStatus::MustWait { ends, .. } if ends >= ENDS_TO_TURN_AWAY => false,
+            QuarantineStatus::MustWait { ends, .. } if ends >= ENDS_TO_REFUSE_AFTER_WAIT => false,
             QuarantineStatus::MustWait { .. }
                 if now < self.incoming.received_at + self.route().target =>
             {
                 false
             }
             QuarantineStatus::Suspect { .. } | QuarantineStatus::MustWait { .. } => {
-                self.turn = Some(now);
-                self.entry.suspect_began(self.request, now);
+                self.turn_started = Some(now);
+                self.entry.suspect_began(self.fingerprint, now);
                 true
             }
         }
@@ -89,12 +89,12 @@
 
     /// Whether the copy that has begun is this request.
     fn is_own_turn(&self, began: Option<Millis>) -> bool {
-        began.is_some() && self.turn == began
+        began.is_some() && self.turn_started == began
     }
 
-    fn ends_endpoints(&self, ends: usize, until: Millis) -> RefusalReason {
+    fn ends_endpoints_refusal(&self, ends: usize, until: Millis) -> RefusalReason {
         RefusalReason::EndsEndpoints {
-            fingerprint: self.request,
+            fingerprint: self.fingerprint,
             ends,
             come_back_ms: (until - self.entry.clock.now()).0,
         }
