--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -15,7 +15,7 @@
     /// The endpoint of the next attempt: the one with a copy of the run, or the best.
     pub(super) fn next_choice(&mut self) -> Option<Choice> {
         if self.resumes_from_copy {
-            return self.choose(|key| Some(key) == self.copy_endpoint);
+            return self.choose(|key| Some(key) == self.copy_key);
         }
         let choice = self.choose(|key| !self.tried.contains(&key))?;
         self.record_most_urgent_band(&choice);
--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -27,7 +27,7 @@
             key != choice.key && !self.tried.contains(&key) && is_free
         };
         let copy = self.is_copy_worthwhile().then(|| self.choose(is_candidate));
-        self.copy_endpoint = copy.flatten().map(|choice| choice.key);
+        self.copy_key = copy.flatten().map(|choice| choice.key);
     }
 
     /// Whether the run is a stream whose answer is long beside its prompt.
@@ -41,14 +41,14 @@
     /// Identity of the endpoint that keeps a copy of the run, for the log.
     pub(super) fn copy_endpoint_id(&self) -> Option<String> {
         let directory = self.entry.directory();
-        let copy = directory.get(self.copy_endpoint?)?;
+        let copy = directory.get(self.copy_key?)?;
         Some(copy.listed.id.clone())
     }
 
     /// Whether the run goes on from its copy, after the endpoint that made it was lost: it must be
     /// gone, since the run goes on in one place only. Counts against the retry budget.
     pub(super) async fn try_resume_from_copy(&mut self) -> bool {
-        let Some(copy) = self.copy_endpoint else {
+        let Some(copy) = self.copy_key else {
             return false;
         };
         let has_events = self.position.get().last_event.is_some();
@@ -70,10 +70,7 @@
         &self,
         reply: &mut Reply,
     ) -> Result<Option<Bytes>, ExchangeError> {
-        let pause_to_check = self
-            .route()
-            .pause()
-            .filter(|_| self.copy_endpoint.is_some());
+        let pause_to_check = self.route().pause().filter(|_| self.copy_key.is_some());
         let Some(pause) = pause_to_check else {
             return reply.chunk().await;
         };
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -100,7 +100,7 @@
     /// Where it was sent last.
     last_address: Option<SocketAddr>,
     /// Endpoint that keeps a copy of the run's memory.
-    copy_endpoint: Option<EndpointKey>,
+    copy_key: Option<EndpointKey>,
     /// Whether the run is to go on from that copy.
     resumes_from_copy: bool,
     /// How far its answer has got; kept also when an attempt is dropped at the time limit.
@@ -145,7 +145,7 @@
             attempts: 0,
             may_have_run: false,
             last_address: None,
-            copy_endpoint: None,
+            copy_key: None,
             resumes_from_copy: false,
             position: Cell::new(StreamPosition {
                 last_event: ask.last_event,
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -172,9 +172,7 @@
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
         self.log_placed(choice, &endpoint.listed.id, now);
-        let copy = self
-            .copy_endpoint
-            .filter(|key| directory.takes_work(*key, now));
+        let copy = self.copy_key.filter(|key| directory.takes_work(*key, now));
         let copy = copy.and_then(|key| directory.get(key));
         let copy = copy.map(|e| e.listed.address);
         let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
