--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -1,4 +1,4 @@
-//! The end of a request that no endpoint answered, or not to its end.
+//! The end of a request that got no complete answer from an endpoint.
 
 use rand::Rng;
 
@@ -11,26 +11,30 @@
 use crate::direct::load::BANDS;
 use crate::direct::refuse::{self, AllowedRequest};
 
-/// Advice when to come back after a refusal, before its random addition.
+/// Retry delay that is advised after a refusal, before jitter.
 const RETRY_DELAY: Millis = Millis(150);
-/// Longest wait that is advised while all endpoints of a pool rest: others may join it before.
+/// Longest delay that is advised while all endpoints of a pool have asked for a back-off: others
+/// may join the pool earlier.
 const MAX_RETRY_DELAY: Millis = Millis(10_000);
-/// Part of the time left in which a caller comes back at the latest; callers wait no longer.
+/// Divisor of the remaining time that gives the longest advised delay where only a part of the
+/// requests is sent: callers wait no longer.
 const MAX_DELAY_DIVISOR: u64 = 4;
-/// Random addition, so that callers don't come back at the same instant.
+/// Jitter, in ms, so that callers don't retry at the same instant.
 const RETRY_JITTER_MS: u64 = 250;
 
-/// When a caller comes back whose pool rests for a time, by the band of its urgency and a number drawn from 0 to 1: all that
-/// were refused meanwhile come in a time that grows with the rest, the more urgent ones first.
-fn delay_after_rest(rest: Millis, band: usize, draw: f64) -> Millis {
-    let wait = rest.min(MAX_RETRY_DELAY);
+/// The retry delay where all endpoints of the pool are backed off, or limited, for another
+/// `backoff`. `band` is the urgency band, and `draw` a random number from 0 to 1. Retries are
+/// spread over a time that grows with the back-off, the more urgent callers first.
+fn delay_after_backoff(backoff: Millis, band: usize, draw: f64) -> Millis {
+    let wait = backoff.min(MAX_RETRY_DELAY);
     let spread = Millis(wait.0 / 2).max(Millis(RETRY_JITTER_MS));
     let part = (band as f64 + draw) / BANDS as f64;
     wait + Millis((spread.0 as f64 * part) as u64)
 }
 
-/// When a caller comes back of whose kind only a part is sent now: all that were refused come in a time that grows with their
-/// number, so that they don't take the room again of those that come meanwhile.
+/// The retry delay where only `sent_percent` of such requests is sent now, at most `longest`;
+/// `draw` is a random number from 0 to 1. Retries are spread over a time that grows with the number
+/// of refused requests, so that they don't take the slots from new requests.
 fn delay_after_partial_admission(sent_percent: u32, longest: Millis, draw: f64) -> Millis {
     let spread = RETRY_JITTER_MS * 100 / u64::from(sent_percent.max(1));
     let spread = Millis(spread).min(longest - RETRY_DELAY);
@@ -38,7 +42,8 @@
 }
 
 impl Job<'_> {
-    /// Nothing ran anywhere, and nothing will.
+    /// Ends the request with a refusal: nothing ran, and nothing will. A stream that has begun is
+    /// cut off. False if the connection is to be closed.
     pub(super) async fn give_up(&self, answerer: &mut Answerer, why: RefusalReason) -> bool {
         if self.position.get().head_sent {
             return self.end_broken_stream();
@@ -79,12 +84,12 @@
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
     }
 
-    /// Why no endpoint was found.
+    /// The reason why no endpoint was found.
     fn no_endpoint_reason(&self) -> RefusalReason {
         let now = self.entry.clock.now();
-        match (self.time_until_rested(), self.first_permit_at()) {
-            (Some(rest), _) => RefusalReason::EndpointsRest {
-                first_back_ms: rest.0,
+        match (self.time_until_backoff_ends(), self.first_permit_at()) {
+            (Some(backoff), _) => RefusalReason::EndpointsRest {
+                first_back_ms: backoff.0,
             },
             (None, Some(at)) => RefusalReason::EndpointsLimited {
                 first_free_ms: (at - now).0,
@@ -93,17 +98,17 @@
         }
     }
 
-    /// When the caller is to come back.
+    /// The delay after which the caller is told to retry.
     fn retry_delay(&self, why: RefusalReason) -> Millis {
         let mut random = rand::thread_rng();
         let spread = random.gen_range(0..RETRY_JITTER_MS);
-        match (why, self.time_until_rested()) {
+        match (why, self.time_until_backoff_ends()) {
             (RefusalReason::EndsEndpoints { come_back_ms, .. }, _) => Millis(come_back_ms + spread),
             (RefusalReason::EndpointsLimited { first_free_ms }, _) => {
                 let wait = Millis(first_free_ms).max(RETRY_DELAY);
-                delay_after_rest(wait, self.band(), random.gen())
+                delay_after_backoff(wait, self.band(), random.gen())
             }
-            (_, Some(rest)) => delay_after_rest(rest, self.band(), random.gen()),
+            (_, Some(backoff)) => delay_after_backoff(backoff, self.band(), random.gen()),
             (RefusalReason::RoomKept { sent_percent }, None) => {
                 let longest =
                     Millis((self.deadline - self.entry.clock.now()).0 / MAX_DELAY_DIVISOR);
@@ -113,8 +118,9 @@
         }
     }
 
-    /// Time until the first endpoint of the pool has rested; `None` where one takes requests, or none rests.
-    fn time_until_rested(&self) -> Option<Millis> {
+    /// Time until the first back-off of an endpoint of the pool ends; `None` if an endpoint accepts
+    /// requests, or none has asked for a back-off.
+    fn time_until_backoff_ends(&self) -> Option<Millis> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
         if directory
@@ -128,7 +134,7 @@
         Some(first - now)
     }
 
-    /// Endpoints of the pool that have a free slot and announced nothing against requests.
+    /// Number of endpoints of the pool that accept requests, have a free slot and no limit.
     fn free_endpoints(&self) -> usize {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
@@ -143,7 +149,8 @@
             .count()
     }
 
-    /// It may have run.
+    /// Ends a request that may have run with an unknown outcome. False if the connection is to be
+    /// closed.
     pub(super) async fn end_with_unknown_outcome(&self, answerer: &mut Answerer) -> bool {
         if self.position.get().head_sent {
             return self.end_broken_stream();
@@ -152,7 +159,7 @@
         refuse::write(self.entry, answerer, Refusal::Unknown, Some(self.ask)).await
     }
 
-    /// Its time is over.
+    /// Ends a request whose deadline has passed. False if the connection is to be closed.
     pub(super) async fn end_at_deadline(&self, answerer: &mut Answerer) -> bool {
         if self.position.get().head_sent {
             return self.end_broken_stream();
@@ -164,7 +171,7 @@
         refuse::write(self.entry, answerer, Refusal::TimeOver, Some(self.ask)).await
     }
 
-    /// A stream that began can't be completed; its connection is closed without its end.
+    /// Ends a stream that can't be completed; its connection is closed without the stream's end.
     fn end_broken_stream(&self) -> bool {
         self.log_ended(RequestOutcome::Broken, 0);
         false
