--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -1,4 +1,4 @@
-//! A request that may run, with its attempts: which endpoints it is sent to and when it is over.
+//! An admitted request and its attempts: which endpoints it is sent to and when it ends.
 
 mod answer;
 mod choice;
@@ -32,41 +32,43 @@
 use crate::direct::resolve::{Allowed, Denied};
 use crate::fingerprint::Fingerprint;
 
-/// Time beyond a request's own in which the endpoint's last word is still waited for.
+/// Time beyond a request's deadline in which the endpoint's answer is still awaited.
 const ANSWER_GRACE: Millis = Millis(60);
-/// Endpoints that may turn out unreachable before a request is given up; nothing was sent to them.
+/// Maximum number of endpoints that may be unreachable before a request is given up; nothing was
+/// sent to them.
 const MAX_UNREACHABLE: u32 = 4;
 
-/// How an attempt ended.
+/// How an attempt ended, or why none was made.
 #[derive(Debug)]
 enum AttemptOutcome {
-    /// The answer was delivered, or as much of it as there will be; whether the connection is kept.
+    /// The answer was delivered, or as much of it as there will be. Holds whether the caller's
+    /// connection stays open.
     Delivered(bool),
-    /// Nothing was sent to this endpoint.
+    /// Nothing was sent to this endpoint: it could not be reached.
     NotSent(EndpointKey),
-    /// Since it was chosen, the endpoint has turned out to take no more requests for now; nothing was sent.
+    /// The endpoint stopped accepting requests after it was chosen; nothing was sent.
     NotAccepting(EndpointKey),
-    /// The endpoint did not run it.
+    /// The endpoint did not run the request.
     NotRun(EndpointKey),
-    /// It may have run.
+    /// The answer was lost; the endpoint may have run the request.
     Lost(EndpointKey),
     /// There is no endpoint to try.
     NoEndpoint,
-    /// It is not sent, since it would wait too long.
+    /// The request is not sent, for the given reason.
     NotAdmitted(RefusalReason),
-    /// It is no longer allowed.
+    /// The request is no longer allowed.
     Denied(Denied),
-    /// Another copy of what it asks for has begun to run, and comes first.
+    /// Another copy of a suspected request has started and goes first.
     CopyRunning,
-    /// The endpoint's limit is used up for now.
+    /// No permit could be had for an endpoint with a rate limit; another attempt may follow.
     NoPermit,
-    /// The time was over.
+    /// The request's deadline has passed.
     TimeOver,
     /// The caller can't be written to.
     CallerGone,
 }
 
-/// One request with everything that its attempts share.
+/// One request, with the state that its attempts share.
 #[derive(Debug)]
 pub struct Job<'a> {
     entry: &'a Rc<Entry>,
@@ -75,35 +77,36 @@
     progress: &'a RefCell<Progress>,
     /// The configuration that the request runs under.
     catalog: Rc<Catalog>,
-    /// Its route and team there.
+    /// The request's route and team in that configuration.
     allowed: Allowed,
-    /// What it asks for.
+    /// What the request asks for.
     fingerprint: Fingerprint,
-    /// When it began to run under suspicion, for others that ask for the same.
+    /// When the request started to run as a suspected one, as reported to peers; `None` where it is
+    /// not suspected or has not started.
     turn_started: Option<Millis>,
-    /// The permit that it has, of an endpoint with a limit.
+    /// The permit that it holds for an endpoint with a rate limit.
     permit: Option<Permit>,
-    /// Permits that it has asked for in vain since it waited last.
+    /// Number of permits that it was refused since it last waited for one.
     permit_refusals: u32,
-    /// Until when it waits for a permit, once it has found none.
+    /// Until when it waits for a permit; set once it finds none.
     permit_deadline: Option<Millis>,
     /// Name of the pool whose endpoints it is sent to.
     pool: String,
-    /// When its time is over.
+    /// When the request's time is over.
     deadline: Millis,
     /// Endpoints that it is not sent to again.
     tried: Vec<EndpointKey>,
-    /// Attempts that count: sent, or about to be.
+    /// Number of attempts that were sent, or are about to be.
     attempts: u32,
     /// Whether an endpoint may have run any of it.
     may_have_run: bool,
-    /// Where it was sent last.
+    /// The address that it was last sent to.
     last_address: Option<SocketAddr>,
-    /// Endpoint that keeps a copy of the run's memory.
+    /// The endpoint that keeps a copy of the run's memory.
     copy_key: Option<EndpointKey>,
-    /// Whether the run is to go on from that copy.
+    /// Whether the next attempt resumes the run from that copy.
     resumes_from_copy: bool,
-    /// How far its answer has got; kept also when an attempt is dropped at the time limit.
+    /// How far the answer has got; also kept when an attempt is dropped at the deadline.
     position: Cell<StreamPosition>,
 }
 
@@ -159,20 +162,21 @@
         &self.catalog.routes[self.allowed.route.0]
     }
 
-    /// Its urgency: the team's, otherwise the route's.
+    /// The request's urgency: its team's, or the route's where the team has none.
     fn priority(&self) -> u8 {
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let priority = team.and_then(|team| team.priority);
         priority.unwrap_or(self.route().priority)
     }
 
-    /// Band of urgency that decides what is sent, and which callers come back first: that of its kind, in the same order as
-    /// endpoints are told. By the team's, requests of the most urgent kind were turned away where less urgent kinds were sent.
+    /// The urgency band that decides which requests are sent and which callers retry first: that of
+    /// the route, in the order in which endpoints are told. With the team's band, requests of the
+    /// most urgent routes were turned away while those of less urgent routes were sent.
     fn band(&self) -> usize {
         load::band(self.route().priority)
     }
 
-    /// Until when the endpoint's last word is waited for, somewhat beyond the request's own time.
+    /// Until when the endpoint's answer is awaited, somewhat beyond the request's deadline.
     fn answer_deadline(&self) -> Millis {
         self.deadline + ANSWER_GRACE
     }
@@ -181,7 +185,7 @@
         self.attempts < self.route().max_attempts
     }
 
-    /// Whether another run after one of unknown outcome is harmless.
+    /// Whether it is harmless to run the request again after an attempt with an unknown outcome.
     fn may_repeat(&self) -> bool {
         let position = self.position.get();
         match self.route().repeat {
@@ -201,7 +205,7 @@
         )
     }
 
-    /// Runs it to its end; false when the connection is to be closed.
+    /// Runs the request to its end; false if the caller's connection is to be closed.
     pub async fn run(&mut self, answerer: &mut Answerer) -> bool {
         self.count_request();
         let mut unreachable = 0;
@@ -220,10 +224,12 @@
                         return self.give_up(answerer, RefusalReason::NoEndpoint).await;
                     }
                 }
-                // It is no sign that others can't be reached, so it does not count as one.
+                // Not counted as unreachable: it says nothing about whether other endpoints can be
+                // reached.
                 AttemptOutcome::NotAccepting(key) => self.tried.push(key),
                 AttemptOutcome::NotRun(key) => {
-                    // Its caller would be told 502 otherwise, as if it might have run, once no endpoint is left.
+                    // Otherwise, once no endpoint is left, the caller would get a 502, as if the
+                    // request might have run.
                     self.may_have_run = ran_before;
                     self.tried.push(key);
                     if !self.may_retry() {
@@ -269,13 +275,14 @@
         window.first(now, allowance);
     }
 
-    /// Whether the request may be sent to another endpoint, after one had it.
+    /// Whether the request may be sent to another endpoint; if so, counts it against the retry
+    /// budget.
     fn may_retry(&self) -> bool {
         let now = self.entry.clock.now();
         self.has_attempts_left() && now < self.deadline && self.take_retry(now)
     }
 
-    /// Whether the retry budget of all entries allows one more; counts it.
+    /// Whether the retry budget of all entries allows one more retry; if so, counts it.
     fn take_retry(&self, now: Millis) -> bool {
         let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let entries = self.entry.peers.borrow().entries(now);
@@ -285,7 +292,7 @@
     }
 }
 
-/// What a request asks for.
+/// The fingerprint of what a request asks for.
 fn request_fingerprint(
     team: Option<&str>,
     ask: &ParsedRequest,
@@ -298,7 +305,7 @@
     Fingerprint::of(team.unwrap_or_default(), &target, &incoming.body)
 }
 
-/// Picks one of a route's pools by weight.
+/// Picks one of a route's pools at random by weight.
 fn pick_pool(route: &Route) -> String {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
     let mut at = rand::thread_rng().gen_range(0..total.max(1));
