--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -1,5 +1,5 @@
-//! Turns of requests under suspicion: copies of one run one after the other, and none once enough endpoints
-//! have ended under them.
+//! Running suspected requests (see [`crate::quarantine`]) one copy at a time, and refusing them
+//! once enough endpoints have ended under them.
 
 use rand::Rng;
 
@@ -9,22 +9,25 @@
 use crate::direct::entry::Account;
 use crate::quarantine::{QuarantineStatus, ENDS_TO_SEPARATE};
 
-/// Ends in a row from which on a copy is turned away, rather than sent, when it has waited in vain for another one.
+/// Consecutive ends from which on a copy that has waited in vain for another one is refused rather
+/// than sent.
 const ENDS_TO_REFUSE_AFTER_WAIT: usize = ENDS_TO_SEPARATE;
-/// Time over which entries spread the turns of requests with so many ends, in ms: an end wakes those that wait at all
-/// entries at once, and who begins first is told to the others some milliseconds later.
+/// Longest random delay, in ms, before a request with [`ENDS_TO_SEPARATE`] ends takes its turn. An
+/// end wakes the waiting copies at all entries at once, and the others hear which one starts first
+/// only some milliseconds later.
 const TURN_JITTER_MS: u64 = 60;
 
 impl Job<'_> {
-    /// Waits while a copy of the request that is under suspicion runs somewhere; why it is not sent, where it is not.
+    /// Waits while another copy of a suspected request runs anywhere. Returns why the request is
+    /// refused; `None` if it may be sent.
     ///
-    /// It waits as long as it may and still be in time: most that wait are innocent and get their turn within
-    /// the time of one answer.
+    /// It waits until the route's target, as long as its answer can still be in time: most waiting
+    /// requests are innocent and get their turn within the time of one answer.
     pub(super) async fn wait_for_turn(&self) -> Option<RefusalReason> {
         let wait_until = (self.incoming.received_at + self.route().target).min(self.deadline);
         let mut is_delayed = false;
         loop {
-            // Registered before the look, so that no change is missed.
+            // Registered before the state is read, so that no change is missed.
             let changed = self.entry.quarantine_changed.notified();
             if self.is_end_being_checked() {
                 changed.await;
@@ -52,13 +55,14 @@
             }
             is_delayed = false;
             let wait = until.min(wait_until);
-            // Whether something changed or the time is over, it looks again.
+            // The state is read again, whether it changed or the time is over.
             let _ = self.entry.clock.timeout_at(wait, changed).await;
         }
     }
 
-    /// Whether it is being found out if the endpoint has ended that lost the last run. Sent on before that is known, a
-    /// request that ends endpoints would end a second one for each of its own.
+    /// Whether a check is under way if the endpoint that lost the last run has ended. If the
+    /// request were sent on before the result is known, a request that crashes endpoints would end
+    /// a second one for each first one.
     fn is_end_being_checked(&self) -> bool {
         let last = self.tried.last();
         let accounts = self.entry.accounts();
@@ -66,8 +70,8 @@
             .is_some_and(Account::is_checked)
     }
 
-    /// Takes the turn of a request under suspicion just before it is sent; false where another copy was first, or
-    /// it is refused by now.
+    /// Takes the turn of a suspected request just before it is sent, and reports its start to
+    /// peers. False if another copy started first or the request is refused by now.
     pub(super) fn take_turn(&mut self, now: Millis) -> bool {
         match self.entry.request_status(self.fingerprint) {
             QuarantineStatus::Clear => true,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Whether the copy that has begun is this request.
+    /// Whether the running copy is this request.
     fn is_own_turn(&self, began: Option<Millis>) -> bool {
         began.is_some() && self.turn_started == began
     }
