--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -1,21 +1,24 @@
-//! Permits for endpoints that have named a limit for all instances together: none is sent to without one, by whatever way.
+//! Permits for endpoints that announced a limit for all instances together: no request is sent to
+//! such an endpoint without one.
 
 use super::{AttemptOutcome, Job};
 use crate::clock::Millis;
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::limits::Step;
 
-/// Time in which a permit is to be used: to open a connection takes less, and a process that stood still meanwhile does not
-/// send later what others have got since.
+/// Time for which a permit is valid. Opening a connection takes less, and a process that was
+/// suspended meanwhile must not send after others have got later permits.
 const PERMIT_VALIDITY: Millis = Millis(300);
-/// Permits that a request asks for in vain before it leaves endpoints with limits to others.
+/// Refused permits after which a request leaves endpoints with limits to other requests.
 const MAX_PERMIT_REFUSALS: u32 = 3;
-/// Part of the route's target that a request waits for a permit, where no endpoint is without a limit.
+/// Divisor of the route's target that gives the time for which a request waits for a permit, where
+/// every endpoint has a limit.
 const PERMIT_WAIT_DIVISOR: u64 = 4;
-/// Time by which a less urgent band waits longer, so that the more urgent ones of this entry ask first.
+/// Additional wait for each less urgent band, so that the more urgent requests of this entry ask
+/// first.
 const BAND_STEP: Millis = Millis(5);
 
-/// A permit to send one request.
+/// A permit to send one request to an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Permit {
     endpoint: EndpointKey,
@@ -23,7 +26,7 @@
 }
 
 impl Job<'_> {
-    /// Gets a permit for an endpoint where that needs one; false where there is none now.
+    /// Gets a permit for an endpoint if it needs one; false if none can be had now.
     pub(super) async fn take_permit(&mut self, key: EndpointKey) -> bool {
         if self.has_permit(key) {
             return true;
@@ -45,12 +48,12 @@
         is_permitted
     }
 
-    /// Whether the request may be sent to an endpoint now as far as that has a limit.
+    /// Whether the endpoint's limit lets the request be sent now: it has none, or a permit is held.
     pub(super) fn is_within_limit(&self, key: EndpointKey) -> bool {
         self.entry.limit(key).is_none() || self.has_permit(key)
     }
 
-    /// Whether a permit for an endpoint may be asked for now, or none is needed.
+    /// Whether a permit for the endpoint may be asked for now, or none is needed.
     pub(super) fn may_ask_permit(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let Some(ask_at) = self.entry.permit_at(endpoint.digest, self.band()) else {
             return true;
@@ -58,7 +61,9 @@
         ask_at <= now && self.permit_refusals < MAX_PERMIT_REFUSALS
     }
 
-    /// Waits until a permit may be asked for, where only that keeps the request from being sent; else there is no endpoint.
+    /// Waits until a permit may be asked for, if only limits keep the request from being sent.
+    /// Returns `NoPermit` after the wait, and `NoEndpoint` if there is no such endpoint or the wait
+    /// would be too long.
     pub(super) async fn wait_for_permit(&mut self) -> AttemptOutcome {
         let now = self.entry.clock.now();
         let Some(first) = self.first_permit_at() else {
@@ -77,7 +82,8 @@
         AttemptOutcome::NoPermit
     }
 
-    /// When a permit for an endpoint of the pool may be asked for first; `None` where no endpoint is kept from it by a limit.
+    /// The earliest time at which a permit for an endpoint of the pool may be asked for; `None` if
+    /// no endpoint that could run the request has a limit.
     pub(super) fn first_permit_at(&self) -> Option<Millis> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
@@ -92,7 +98,7 @@
             .min()
     }
 
-    /// The permit for an attempt is used; another attempt waits for its own.
+    /// Consumes the permit for an attempt; another attempt needs its own.
     pub(super) fn use_permit(&mut self) {
         self.permit = None;
         self.permit_deadline = None;
