--- a/src/direct/job/room.rs
+++ b/src/direct/job/room.rs
@@ -1,4 +1,5 @@
-//! Room that a request leaves for more urgent ones, and what its entry notes of it for others.
+//! Slots that a request leaves free for more urgent ones, and what its entry records for this
+//! decision.
 
 use super::Job;
 use crate::clock::Millis;
@@ -7,8 +8,8 @@
 use crate::direct::room::RoomFor;
 
 impl Job<'_> {
-    /// Whether a request that no endpoint has begun is not sent, since all slots that are free are left to more urgent ones. A
-    /// second attempt is no reason to begin before them.
+    /// Whether a request that no endpoint has started must not be sent, since the free slots are
+    /// kept for more urgent ones. A second attempt gets no precedence over them.
     pub(super) fn must_leave_room(&self, choice: &Choice) -> bool {
         let now = self.entry.clock.now();
         let is_drawn = rand::random::<f64>() < choice.sent_part;
@@ -16,7 +17,7 @@
         leaves && !self.may_have_run && !(choice.has_room && is_drawn)
     }
 
-    /// Whether more urgent kinds of requests of the pool were seen lately.
+    /// Whether requests of more urgent bands were seen in the pool lately.
     pub(super) fn has_more_urgent(&self, now: Millis) -> bool {
         let band = self.band();
         let more_urgent = self
@@ -25,14 +26,15 @@
         more_urgent > 0
     }
 
-    /// Whether less urgent requests come to the pool in number, which leave room first.
+    /// Whether the pool gets enough less urgent requests that these are the ones to leave slots
+    /// free.
     fn has_less_urgent(&self, now: Millis) -> bool {
         let band = self.band();
         self.entry
             .turnover(&self.pool, |t| t.has_less_urgent(band, now))
     }
 
-    /// What room at endpoints is for.
+    /// What decides how many slots are left free at endpoints.
     pub(super) fn room(&self, now: Millis) -> RoomFor {
         let band = self.band();
         let peers = self.entry.peers.borrow();
@@ -44,13 +46,14 @@
         })
     }
 
-    /// Takes note that the request comes to its pool.
+    /// Records that the request arrived at its pool.
     pub(super) fn record_arrival(&self) {
         let (band, now) = (self.band(), self.entry.clock.now());
         self.entry.turnover(&self.pool, |t| t.come(band, now));
     }
 
-    /// Takes note of the most urgent requests at the pool's endpoints, of all entries.
+    /// Records the most urgent band of which prompts are being read at the pool's endpoints, for
+    /// any entry.
     pub(super) fn record_most_urgent_band(&self, choice: &Choice) {
         if let Some(band) = choice.read_band {
             let now = self.entry.clock.now();
@@ -58,13 +61,13 @@
         }
     }
 
-    /// Takes note that an endpoint turned the request away for want of room.
+    /// Records that an endpoint refused the request for lack of slots.
     pub(super) fn record_endpoint_refusal(&self) {
         let now = self.entry.clock.now();
         self.entry.turnover(&self.pool, |t| t.turn_away(now));
     }
 
-    /// Takes note that the request gets nothing, where that is for want of room.
+    /// Records that the request is refused, if that is for lack of slots.
     pub(super) fn record_refusal(&self, why: RefusalReason) {
         let is_for_room = matches!(
             why,
