--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -12,7 +12,8 @@
 use crate::direct::warmup::WarmUp;
 
 impl Job<'_> {
-    /// The endpoint of the next attempt: the one with a copy of the run, or the best.
+    /// The endpoint for the next attempt: the one with the copy if the run resumes from it,
+    /// otherwise the best one that was not tried. `None` if there is none.
     pub(super) fn next_choice(&mut self) -> Option<Choice> {
         if self.resumes_from_copy {
             return self.choose(|key| Some(key) == self.copy_key);
@@ -23,7 +24,8 @@
         Some(choice)
     }
 
-    /// The best of the endpoints that `is_candidate`.
+    /// The best endpoint for which `is_candidate` is true, among those that may get the request
+    /// now; `None` if there is none.
     pub(super) fn choose(&self, is_candidate: impl Fn(EndpointKey) -> bool) -> Option<Choice> {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
@@ -52,7 +54,8 @@
         choose::choose(demand, candidates, &self.entry.prefixes.borrow(), now)
     }
 
-    /// Why a request that no endpoint has yet is not sent; `None` where it is.
+    /// Why the request is not sent to the chosen endpoint; `None` if it is. Overload is checked
+    /// only before the first attempt.
     pub(super) fn admission_refusal(&self, choice: &Choice) -> Option<RefusalReason> {
         let is_plain = self.catalog.pool(&self.pool)?.engine.is_none();
         if !is_plain && self.must_leave_room(choice) {
@@ -92,13 +95,13 @@
         }
     }
 
-    /// How endpoints of the pool warm up.
+    /// How the pool's endpoints warm up; `None` if they don't.
     fn warm_up(&self) -> Option<WarmUp> {
         self.catalog.pool(&self.pool).and_then(|pool| pool.warm_up)
     }
 
-    /// Whether an endpoint may be sent to now: it takes work, and this entry's share of it is not used up
-    /// while it warms up.
+    /// Whether the request may be sent to an endpoint now: it accepts work, may run the request,
+    /// and, while it warms up, has not used up this entry's share of its requests.
     pub(super) fn may_send(&self, key: EndpointKey, now: Millis) -> bool {
         let directory = self.entry.directory();
         let Some(endpoint) = directory.get(key) else {
@@ -112,14 +115,14 @@
         directory.takes_work(key, now) && may_run && share.is_none_or(allows)
     }
 
-    /// Whether an endpoint lies where requests of this route and team may run.
+    /// Whether an endpoint is in a region where requests of this route and team may run.
     pub(super) fn may_run_at(&self, endpoint: &Endpoint, settings: &DirectSettings) -> bool {
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let zone = &endpoint.listed.zone;
         residency::allows(self.route(), team, zone, &settings.regions)
     }
 
-    /// What is to be placed, by an entry in `zone`.
+    /// What the choice of an endpoint is based on, for an entry in availability zone `zone`.
     fn demand<'a>(&'a self, zone: &'a str, now: Millis) -> Demand<'a> {
         let engine = self.catalog.pool(&self.pool).and_then(|pool| pool.engine);
         Demand {
