--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -1,6 +1,6 @@
-//! Copies of a run's memory at a second endpoint, from which a stream goes on when its endpoint is
-//! lost. What goes on is the same run: nothing is made twice, so work that may run only once may
-//! be taken over as well.
+//! Copies of a run's memory at a second endpoint, from which a stream resumes when its endpoint is
+//! lost. The same run is resumed and nothing is generated twice, so work that may run only once can
+//! be resumed as well.
 
 use bytes::Bytes;
 use tokio::time::sleep;
@@ -11,16 +11,18 @@
 use crate::direct::channel::{Connection, ExchangeError, Reply};
 use crate::direct::choose::Choice;
 
-/// Tokens of a run's memory for each token of its answer up to which a copy is worth its way: the
-/// answer's length is the time for which the run can be lost, the memory is what has to be moved.
+/// Maximum tokens of a run's memory (prompt and answer) per token of its answer for which a copy is
+/// worthwhile: the length of the answer is how long the run can be lost, and the memory is what has
+/// to be transferred.
 const MAX_MEMORY_PER_ANSWER_TOKEN: u64 = 8;
 
-/// Silence, in pauses that the route allows, after which an endpoint is asked whether it is there.
-/// Within less, engines that are only busy would lose their streams.
+/// Silence, as a multiple of the longest pause that the route allows, after which an endpoint is
+/// checked. With a smaller multiple, engines that are only busy would lose their streams.
 const CHECK_AFTER_PAUSES: u64 = 2;
 
 impl Job<'_> {
-    /// Picks the endpoint that keeps a copy of the run that `choice` begins, where that is worth it.
+    /// Chooses the endpoint that keeps a copy of the run that `choice` starts, if a copy is
+    /// worthwhile.
     pub(super) fn choose_copy_endpoint(&mut self, choice: &Choice) {
         let is_candidate = |key| {
             let is_free = self.entry.limit(key).is_none();
@@ -30,7 +32,7 @@
         self.copy_key = copy.flatten().map(|choice| choice.key);
     }
 
-    /// Whether the run is a stream whose answer is long beside its prompt.
+    /// Whether the run is a stream with an answer that is long compared with its prompt.
     fn is_copy_worthwhile(&self) -> bool {
         let prompt: u64 = self.ask.parts.iter().map(|part| part.tokens).sum();
         let answer = self.ask.output_tokens;
@@ -38,15 +40,15 @@
         is_stream && prompt > 0 && prompt + answer <= MAX_MEMORY_PER_ANSWER_TOKEN * answer
     }
 
-    /// Identity of the endpoint that keeps a copy of the run, for the log.
+    /// Id of the endpoint that keeps a copy of the run, for the log.
     pub(super) fn copy_endpoint_id(&self) -> Option<String> {
         let directory = self.entry.directory();
         let copy = directory.get(self.copy_key?)?;
         Some(copy.listed.id.clone())
     }
 
-    /// Whether the run goes on from its copy, after the endpoint that made it was lost: it must be
-    /// gone, since the run goes on in one place only. Counts against the retry budget.
+    /// Whether the run resumes from its copy after its endpoint was lost. The endpoint must be
+    /// gone, since the run may go on in one place only. Counts against the retry budget.
     pub(super) async fn try_resume_from_copy(&mut self) -> bool {
         let Some(copy) = self.copy_key else {
             return false;
@@ -64,8 +66,9 @@
         self.resumes_from_copy
     }
 
-    /// The next piece of a stream. Where the run has a copy, an endpoint that falls silent is asked
-    /// whether it is still there: without power it would say nothing, and the stream could go on.
+    /// The next piece of a stream; `None` at its end. If the run has a copy and the endpoint falls
+    /// silent, checks whether the endpoint is gone and returns [`Failure::Lost`] if so: an endpoint
+    /// without power would never close the connection, while the stream could resume elsewhere.
     pub(super) async fn next_chunk(
         &self,
         reply: &mut Reply,
@@ -85,8 +88,8 @@
         }
     }
 
-    /// Whether nothing listens any more where the request was sent last. The endpoint may have left
-    /// the list and serve on.
+    /// Whether nothing accepts connections any more at the address that the request was last sent
+    /// to. The directory does not tell: the endpoint may have left the list and still be serving.
     async fn is_last_endpoint_gone(&self) -> bool {
         let Some(address) = self.last_address else {
             return false;
