--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -1,4 +1,4 @@
-//! One attempt: the request is sent to the endpoint that was chosen, and the head of its answer awaited.
+//! One attempt: sends the request to the chosen endpoint and waits for the head of its answer.
 
 use std::future::Future;
 use std::pin::pin;
@@ -20,9 +20,9 @@
 use crate::direct::peers::PromptPlacement;
 use crate::direct::resolve::{Allowed, Denied};
 
-/// Silence of an endpoint, in targets of the route, after which it is taken for unreachable.
+/// Silence, as a multiple of the route's target, after which an endpoint counts as unreachable.
 const UNREACHABLE_AFTER_TARGETS: u64 = 3;
-/// Least such silence.
+/// Shortest such silence.
 const MIN_SILENCE: Millis = Millis(300);
 
 impl Job<'_> {
@@ -47,7 +47,7 @@
                 .endpoint_failed(key, Fault::Contact, "no connection");
             return AttemptOutcome::NotSent(key);
         };
-        // Nothing is awaited between here and the first byte that leaves.
+        // No await between here and the first byte sent, so that these checks still hold then.
         let now = self.entry.clock.now();
         if now >= self.deadline {
             return AttemptOutcome::TimeOver;
@@ -56,7 +56,7 @@
             self.entry.keep_channel(key, connection);
             return AttemptOutcome::NotAccepting(key);
         }
-        // It may have named its limit since it was chosen.
+        // The endpoint may have announced its limit since it was chosen.
         if !self.is_within_limit(key) {
             self.entry.keep_channel(key, connection);
             return AttemptOutcome::NoPermit;
@@ -76,8 +76,8 @@
         self.send(answerer, connection, choice, now).await
     }
 
-    /// Takes over the configuration in force now; false where that treats the request otherwise
-    /// than the one that it began under.
+    /// Switches to the configuration in force now. False if it treats the request differently from
+    /// the one under which the request started: another answer shape, or a route without this pool.
     fn refresh_catalog(&mut self, allowed: Allowed) -> bool {
         let Some(catalog) = self.entry.catalog() else {
             return false;
@@ -93,7 +93,7 @@
         is_same_treatment
     }
 
-    /// A connection to an endpoint: a kept one that is quiet, or a new one.
+    /// A connection to an endpoint: an idle one, or a new one. `None` if it can't be reached.
     async fn open_connection(&self, key: EndpointKey) -> Option<Connection> {
         if let Some(connection) = self.entry.idle_channel(key) {
             return Some(connection);
@@ -107,7 +107,8 @@
         connected.ok()
     }
 
-    /// Sends the request; whatever is awaited comes after its first byte.
+    /// Sends the request and waits for its answer; nothing is awaited before the first byte is
+    /// sent.
     async fn send(
         &mut self,
         answerer: &mut Answerer,
@@ -153,8 +154,8 @@
         self.handle_answer(answerer, answer).await
     }
 
-    /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
-    /// endpoint announces in it holds all the same.
+    /// Whether an answer belongs to this request. A late answer to an earlier request is skipped,
+    /// but what the endpoint announces in it is applied all the same.
     fn is_own_answer(&self, key: EndpointKey, head: &ResponseHead) -> bool {
         let response_info = self.entry.dialect.response_info(head, &self.ask.id);
         if !response_info.is_own {
@@ -167,7 +168,8 @@
         response_info.is_own
     }
 
-    /// The head that the endpoint gets; `None` when it has left the list.
+    /// Logs the attempt and returns the request head for the endpoint; `None` if it has left the
+    /// list.
     fn request_head(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
@@ -198,7 +200,7 @@
         )
     }
 
-    /// Remembers where the parts of the prompt are now, also for peers.
+    /// Records where the parts of the prompt are from now on, also for peers.
     fn record_placement(&self, choice: &Choice) {
         let now = self.entry.clock.now();
         let parts = &self.ask.parts;
@@ -219,7 +221,8 @@
         }
     }
 
-    /// Waits for the head of the answer; a silent endpoint is left where that is harmless.
+    /// Waits for the head of the answer. Gives up on a silent endpoint where the request can be
+    /// repeated.
     async fn wait_for_head(
         &self,
         sending: impl Future<Output = Result<Reply, ExchangeError>>,
@@ -248,7 +251,7 @@
         reply.ok_or(AttemptOutcome::TimeOver)
     }
 
-    /// Whether anything was heard of an endpoint since a time.
+    /// Whether anything was received from an endpoint after `since`.
     fn was_heard_since(&self, key: EndpointKey, since: Millis) -> bool {
         let mut heard = Millis(0);
         self.entry.account(key, |account| heard = account.heard);
