--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -1,4 +1,5 @@
-//! An endpoint's answer: judged by its head, relayed to the caller, accounted to the endpoint.
+//! Handling an endpoint's answer: classifies it by its head, relays it to the caller and records
+//! the result for the endpoint.
 
 use actix_http::StatusCode;
 
@@ -21,16 +22,16 @@
 pub(super) struct ReceivedAnswer<'a> {
     /// The answer.
     pub(super) reply: Reply,
-    /// The endpoint, with what was estimated for it.
+    /// The chosen endpoint and the estimates for it.
     pub(super) choice: Choice,
-    /// Keeps the request in the endpoint's load.
+    /// Counts the request in the endpoint's load until it is dropped.
     pub(super) run_guard: &'a Placed,
     /// When the request was sent.
     pub(super) sent_at: Millis,
 }
 
 impl Job<'_> {
-    /// Judges an answer by its head and relays it if it is one for the caller.
+    /// Classifies an answer by its head, and relays it if it is one for the caller.
     pub(super) async fn handle_answer(
         &mut self,
         answerer: &mut Answerer,
@@ -75,7 +76,7 @@
         ended.unwrap_or(AttemptOutcome::TimeOver)
     }
 
-    /// Takes note of what the endpoint tells of itself.
+    /// Records that the endpoint answered, and the load that it reports.
     fn record_report(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
         self.entry.account(key, |account| {
             account.hear(now);
@@ -85,7 +86,7 @@
         });
     }
 
-    /// Another endpoint has this address now, and did not run the request.
+    /// The address now belongs to another endpoint, which did not run the request.
     fn handle_misdirected(&mut self, key: EndpointKey) -> AttemptOutcome {
         let why = "another endpoint has its address";
         self.attempts -= 1;
@@ -95,7 +96,7 @@
         AttemptOutcome::NotRun(key)
     }
 
-    /// Why an answer does not count; `None` when it is one for the caller.
+    /// Why an answer must not be relayed; `None` if it may.
     fn rejection_reason(
         &self,
         status: StatusCode,
@@ -118,7 +119,7 @@
         response_info: &ResponseInfo,
     ) -> AttemptOutcome {
         let status = reply.head.status;
-        // The body is of no interest, but the connection can be kept once it has been read.
+        // The body is not needed, but the connection can be reused once it has been read.
         if relay::read_body(&mut reply).await.is_ok() {
             self.keep_connection(key, reply, response_info);
         }
@@ -138,7 +139,8 @@
         AttemptOutcome::NotRun(key)
     }
 
-    /// Whether a refusal is due to load: most slots are taken, or requests wait there.
+    /// Whether load explains a refusal: at least half of the endpoint's slots are taken, or
+    /// requests wait there.
     fn is_busy(&self, key: EndpointKey) -> bool {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
@@ -151,7 +153,7 @@
         busy
     }
 
-    /// The endpoint failed the request, which may have run.
+    /// Records that the endpoint failed a request that may have run.
     pub(super) fn record_failure(
         &self,
         key: EndpointKey,
@@ -165,7 +167,7 @@
         AttemptOutcome::Lost(key)
     }
 
-    /// Relays a body once it is whole.
+    /// Relays a body once it is complete.
     async fn relay_complete(
         &self,
         answerer: &mut Answerer,
@@ -197,7 +199,7 @@
         AttemptOutcome::Delivered(answerer.keeps_connection())
     }
 
-    /// Accounts a whole answer to its endpoint.
+    /// Records the result of a complete answer for its endpoint.
     fn record_complete_answer(&self, key: EndpointKey, status: StatusCode) -> RequestOutcome {
         if status == StatusCode::GATEWAY_TIMEOUT {
             // The request's own time was over, which says nothing about the endpoint.
@@ -261,7 +263,7 @@
         }
     }
 
-    /// The answer's first byte is about to leave.
+    /// Records that the first byte of the answer is about to be sent to the caller.
     fn record_first_byte(&self, choice: &Choice, run_guard: &Placed, sent_at: Millis) {
         let now = self.entry.clock.now();
         run_guard.read();
