--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -1,8 +1,8 @@
 //! The state of a direct entry that its tasks share, and where it is in its life.
 
-mod accounts;
 mod announcements;
 mod beliefs;
+mod endpoint_states;
 mod limited;
 mod store;
 mod suspicion;
@@ -15,7 +15,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{watch, Notify};
 
-pub use self::accounts::{Account, Accounts, Placed};
+pub use self::endpoint_states::{EndpointState, EndpointStates, RunGuard};
 use self::limited::Questions;
 use self::store::LargeAnswer;
 use crate::clock::{Clock, Millis};
@@ -38,11 +38,11 @@
 
 /// Where a process is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     /// Takes work.
     Serving,
     /// Still takes work, told the balancer not to send more.
-    Lingering,
+    Draining,
     /// Takes no new work and finishes what it has.
     Stopping,
 }
@@ -70,7 +70,7 @@
     /// Decision log.
     pub log: DecisionLog,
     /// Counters.
-    pub gauges: Gauges,
+    pub metrics: Gauges,
     /// Other entries.
     pub peers: RefCell<PeerTable>,
     /// What endpoints keep of prompts.
@@ -96,14 +96,14 @@
     /// Wakes requests that wait for one of their kind.
     pub quarantine_changed: Notify,
     /// Wakes the task that tells peers.
-    pub tell_now: Notify,
+    pub gossip_requested: Notify,
     /// Wakes the watch to read everything anew.
-    pub list_again: Notify,
+    pub relist_requested: Notify,
     /// Has the watch asked again on a new connection: the one that waits may have lost its answer.
-    pub watch_again: Notify,
+    pub rewatch_requested: Notify,
     /// Since when a peer has applied changes that this entry has not, and up to which revision.
     behind: Cell<Option<(Millis, Revision)>>,
-    accounts: RefCell<Accounts>,
+    endpoint_states: RefCell<EndpointStates>,
     directory: RefCell<Directory>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     /// Since when a peer has had a newer version of the configuration.
@@ -112,9 +112,9 @@
     versions: RefCell<VersionLog>,
     freshness: Cell<Freshness>,
     /// Revision of the store up to which the list of endpoints is complete here.
-    listed_up_to: Cell<Revision>,
+    list_revision: Cell<Revision>,
     /// Revision of the store up to which the configuration in force is known to be the newest.
-    catalog_up_to: Cell<Revision>,
+    catalog_revision: Cell<Revision>,
     /// When the store was asked, and the revision that is to be applied before that is a proof.
     unproven: Cell<Option<(Millis, Revision)>>,
     /// Whether the endpoints have been listed whole once.
@@ -138,7 +138,7 @@
     unkept: RefCell<HashSet<SocketAddr>>,
     /// What is being fetched from peers.
     fetching: RefCell<HashSet<Fetch>>,
-    life: watch::Sender<Life>,
+    process_state: watch::Sender<ProcessState>,
 }
 
 impl Entry {
@@ -156,7 +156,7 @@
             dialect,
             id: PeerId(rand::random()),
             log,
-            gauges: Gauges::new(),
+            metrics: Gauges::new(),
             peers: RefCell::new(peers),
             prefixes: RefCell::default(),
             placements: RefCell::default(),
@@ -169,18 +169,18 @@
             retries: RefCell::default(),
             quarantine: RefCell::new(Quarantine::started_at(clock.now())),
             quarantine_changed: Notify::new(),
-            tell_now: Notify::new(),
-            list_again: Notify::new(),
-            watch_again: Notify::new(),
+            gossip_requested: Notify::new(),
+            relist_requested: Notify::new(),
+            rewatch_requested: Notify::new(),
             behind: Cell::default(),
-            accounts: RefCell::default(),
+            endpoint_states: RefCell::default(),
             directory: RefCell::default(),
             catalog: RefCell::default(),
             missing_since: Cell::default(),
             versions: RefCell::default(),
             freshness: Cell::default(),
-            listed_up_to: Cell::default(),
-            catalog_up_to: Cell::default(),
+            list_revision: Cell::default(),
+            catalog_revision: Cell::default(),
             unproven: Cell::default(),
             listed: Cell::default(),
             store_answers: Cell::default(),
@@ -193,27 +193,30 @@
             started: clock.now(),
             unkept: RefCell::default(),
             fetching: RefCell::default(),
-            life: watch::Sender::new(Life::Serving),
+            process_state: watch::Sender::new(ProcessState::Serving),
             clock,
             settings: RefCell::new(settings),
         })
     }
 
     /// Where the process is in its life.
-    pub fn life(&self) -> Life {
-        *self.life.borrow()
+    pub fn process_state(&self) -> ProcessState {
+        *self.process_state.borrow()
     }
 
-    /// Notices changes of [`Entry::life`].
-    pub fn watch_life(&self) -> watch::Receiver<Life> {
-        self.life.subscribe()
+    /// Notices changes of [`Entry::process_state`].
+    pub fn watch_process_state(&self) -> watch::Receiver<ProcessState> {
+        self.process_state.subscribe()
     }
 
     /// Whether the balancer should send connections: requests can be decided and are wanted.
     pub fn is_ready(&self) -> bool {
         let bound = self.settings.borrow().bounds.max_key_proof_age();
         let fresh = bound.is_none_or(|b| self.freshness.get().within(self.clock.now(), b));
-        self.life() == Life::Serving && self.listed.get() && self.version() > 0 && fresh
+        self.process_state() == ProcessState::Serving
+            && self.listed.get()
+            && self.version() > 0
+            && fresh
     }
 
     /// Counts a request as in flight until the guard is dropped.
@@ -248,23 +251,23 @@
 
     /// The machine was suspended for a time, while the runtime's timers stood still: whatever waits for the store may wait
     /// for an answer that was lost meanwhile.
-    pub fn resumed(&self, time: Millis) {
+    pub fn handle_resume(&self, time: Millis) {
         let note = format!("after {} ms in which the machine was suspended", time.0);
         self.log_process("resumed", &note);
-        self.watch_again.notify_one();
+        self.rewatch_requested.notify_one();
     }
 
     /// Begins a planned stop; a second call changes nothing.
-    pub fn stop(&self, why: &str) {
-        if self.life() == Life::Serving {
+    pub fn begin_stop(&self, why: &str) {
+        if self.process_state() == ProcessState::Serving {
             self.log_process("stopping", why);
-            self.life.send_replace(Life::Lingering);
+            self.process_state.send_replace(ProcessState::Draining);
         }
     }
 
     /// Takes no new work from now on.
-    pub fn end_work(&self) {
-        self.life.send_replace(Life::Stopping);
+    pub fn stop_accepting(&self) {
+        self.process_state.send_replace(ProcessState::Stopping);
     }
 
     /// Writes a line about the process itself.
@@ -276,31 +279,34 @@
     }
 
     /// Sets the gauges to what is true now.
-    pub fn set_gauges(&self) {
+    pub fn update_metrics(&self) {
         let now = self.clock.now();
-        let gauges = &self.gauges;
-        gauges.set("catalog_version", self.version());
-        gauges.set("applied_revision", self.applied());
+        let metrics = &self.metrics;
+        metrics.set("catalog_version", self.version());
+        metrics.set("applied_revision", self.applied());
         let behind = self
             .behind
             .get()
             .map_or(Millis(0), |(since, _)| now - since);
-        gauges.set("behind_ms", behind.0);
-        gauges.set("entries", self.peers.borrow().entries(now) as u64);
-        gauges.set("in_flight", self.in_flight.get());
-        gauges.set("ready", u64::from(self.is_ready()));
-        gauges.set(
+        metrics.set("behind_ms", behind.0);
+        metrics.set("entries", self.peers.borrow().entries(now) as u64);
+        metrics.set("in_flight", self.in_flight.get());
+        metrics.set("ready", u64::from(self.is_ready()));
+        metrics.set(
             "proof_age_ms",
             self.proof_age().map_or(u64::MAX, |age| age.0),
         );
         let quarantine = self.quarantine.borrow();
-        gauges.set("requests_suspected", quarantine.len() as u64);
-        gauges.set(
+        metrics.set("requests_suspected", quarantine.len() as u64);
+        metrics.set(
             "requests_refused",
             quarantine.refused_requests(now).len() as u64,
         );
-        gauges.set("limited_endpoints", self.limits.borrow().count(now) as u64);
-        gauges.set("endpoints", self.directory.borrow().iter().count() as u64);
+        metrics.set(
+            "limited_endpoints",
+            self.limits.borrow().limited_endpoints(now) as u64,
+        );
+        metrics.set("endpoints", self.directory.borrow().iter().count() as u64);
     }
 }
 
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -6,8 +6,8 @@
 
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::RefusalReason;
-use crate::direct::dialect::Refusal;
-use crate::direct::entry::{Entry, Life};
+use crate::direct::dialect::ErrorResponse;
+use crate::direct::entry::{Entry, ProcessState};
 use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
@@ -24,13 +24,13 @@
 ) -> bool {
     let parsed = match entry.dialect.parse_request(&incoming.head) {
         Ok(parsed) => parsed,
-        Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
+        Err(error) => return refuse::write(entry, answerer, error, None).await,
     };
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
-    if entry.life() == Life::Stopping {
+    if entry.process_state() == ProcessState::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
-        let refusal = Refusal::NotRun(COME_BACK_ELSEWHERE);
-        return refuse::write(entry, answerer, refusal, Some(&parsed)).await;
+        let error = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
+        return refuse::write(entry, answerer, error, Some(&parsed)).await;
     }
     let allowed = match entry.allow(&parsed) {
         Ok(allowed) => allowed,
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -13,7 +13,7 @@
 use crate::direct::dialect::ResponseInfo;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
-use crate::direct::entry::{Life, Placed};
+use crate::direct::entry::{ProcessState, RunGuard};
 use crate::direct::health::Fault;
 use crate::direct::relay::{self, RelayContext, RelayError};
 
@@ -25,7 +25,7 @@
     /// The chosen endpoint and the estimates for it.
     pub(super) choice: Choice,
     /// Counts the request in the endpoint's load until it is dropped.
-    pub(super) run_guard: &'a Placed,
+    pub(super) run_guard: &'a RunGuard,
     /// When the request was sent.
     pub(super) sent_at: Millis,
 }
@@ -45,9 +45,9 @@
             .response_info(&answer.reply.head, &self.ask.id);
         self.record_report(key, &response_info, now);
         let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
-        self.entry.endpoint_announced(key, announcement, id);
+        self.entry.record_announcement(key, announcement, id);
         self.entry
-            .endpoint_limited(key, announcement.limit, answer.sent_at, id);
+            .record_announced_limit(key, announcement.limit, answer.sent_at, id);
         if response_info.misdirected {
             answer.run_guard.undecided();
             return self.handle_misdirected(key);
@@ -78,10 +78,10 @@
 
     /// Records that the endpoint answered, and the load that it reports.
     fn record_report(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
-        self.entry.account(key, |account| {
-            account.hear(now);
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            endpoint_state.record_contact(now);
             if let Some(report) = response_info.report {
-                account.load.reported(report, now);
+                endpoint_state.load.reported(report, now);
             }
         });
     }
@@ -126,7 +126,7 @@
         if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
-                .account(key, |account| account.load.turned_away(now));
+                .update_endpoint_state(key, |endpoint_state| endpoint_state.load.turned_away(now));
             self.record_endpoint_refusal();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
@@ -135,7 +135,7 @@
         }
         self.log_failed(key, &format!("not run, status {}", status.as_u16()), false);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "not_run");
+        self.entry.metrics.attempt(&self.pool, urgency, "not_run");
         AttemptOutcome::NotRun(key)
     }
 
@@ -146,9 +146,9 @@
         let directory = self.entry.directory();
         let slots = directory.get(key).map_or(1, |e| e.listed.slots.max(1));
         let mut busy = false;
-        self.entry.account(key, |account| {
-            let running = account.load.total(now).running;
-            busy = running * 2 >= slots || account.load.waiting(now) > 0;
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            let running = endpoint_state.load.total(now).running;
+            busy = running * 2 >= slots || endpoint_state.load.waiting(now) > 0;
         });
         busy
     }
@@ -163,7 +163,7 @@
         self.entry.endpoint_failed(key, fault, why);
         self.log_failed(key, why, true);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "lost");
+        self.entry.metrics.attempt(&self.pool, urgency, "lost");
         AttemptOutcome::Lost(key)
     }
 
@@ -264,21 +264,24 @@
     }
 
     /// Records that the first byte of the answer is about to be sent to the caller.
-    fn record_first_byte(&self, choice: &Choice, run_guard: &Placed, sent_at: Millis) {
+    fn record_first_byte(&self, choice: &Choice, run_guard: &RunGuard, sent_at: Millis) {
         let now = self.entry.clock.now();
         run_guard.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
         self.entry.prefixes.borrow_mut().read(choice.key, ids, now);
-        self.entry.account(choice.key, |account| {
-            account.hear(now);
-            account.record.began(now, now - sent_at, choice.usual_ms);
-        });
+        self.entry
+            .update_endpoint_state(choice.key, |endpoint_state| {
+                endpoint_state.record_contact(now);
+                endpoint_state
+                    .record
+                    .began(now, now - sent_at, choice.usual_ms);
+            });
         let mut progress = self.progress.borrow_mut();
         if progress.first_byte_at.is_none() {
             progress.first_byte_at = Some(now);
             let ms = (now - self.incoming.received_at).0 as f64;
             self.entry
-                .gauges
+                .metrics
                 .first_byte(&self.pool, self.priority(), ms);
         }
     }
@@ -287,11 +290,11 @@
     fn keep_connection(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
         if let Some(mut connection) = reply.into_connection() {
             connection.idle_time = response_info.idle_time;
-            self.entry.keep_channel(key, connection);
+            self.entry.keep_connection(key, connection);
         }
     }
 
     fn is_closing(&self) -> bool {
-        self.entry.life() != Life::Serving
+        self.entry.process_state() != ProcessState::Serving
     }
 }
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -6,7 +6,7 @@
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
 use crate::direct::decision::{RefusalReason, RequestOutcome};
-use crate::direct::dialect::Refusal;
+use crate::direct::dialect::ErrorResponse;
 use crate::direct::directory::EndpointKey;
 use crate::direct::load::BANDS;
 use crate::direct::refuse::{self, AllowedRequest};
@@ -54,7 +54,7 @@
         };
         let free = self.free_endpoints();
         if free > 0 {
-            self.entry.gauges.refused_with_room(&self.pool);
+            self.entry.metrics.refused_with_room(&self.pool);
         }
         self.record_refusal(why);
         let urgency = self.route().priority;
@@ -78,9 +78,9 @@
             _ => "not_run",
         };
         self.entry
-            .gauges
+            .metrics
             .request(&self.pool, Some(urgency), outcome);
-        let refusal = Refusal::NotRun(self.retry_delay(why));
+        let refusal = ErrorResponse::NotRun(self.retry_delay(why));
         refuse::write(self.entry, answerer, refusal, Some(self.ask)).await
     }
 
@@ -138,10 +138,11 @@
     fn free_endpoints(&self) -> usize {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
-        let accounts = self.entry.accounts();
+        let endpoint_states = self.entry.endpoint_states();
         let is_free = |key: EndpointKey, slots: u32| {
-            let account = accounts.get(key);
-            let has_room = account.is_some_and(|account| account.load.present(now) < slots);
+            let endpoint_state = endpoint_states.get(key);
+            let has_room = endpoint_state
+                .is_some_and(|endpoint_state| endpoint_state.load.present(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
         let open = directory.available_in_pool(&self.pool, now);
@@ -156,7 +157,7 @@
             return self.end_broken_stream();
         }
         self.log_ended(RequestOutcome::Unknown, 502);
-        refuse::write(self.entry, answerer, Refusal::Unknown, Some(self.ask)).await
+        refuse::write(self.entry, answerer, ErrorResponse::Unknown, Some(self.ask)).await
     }
 
     /// Ends a request whose deadline has passed. False if the connection is to be closed.
@@ -168,7 +169,13 @@
             return self.give_up(answerer, RefusalReason::TimeOver).await;
         }
         self.log_ended(RequestOutcome::TimeOver, 504);
-        refuse::write(self.entry, answerer, Refusal::TimeOver, Some(self.ask)).await
+        refuse::write(
+            self.entry,
+            answerer,
+            ErrorResponse::TimeOver,
+            Some(self.ask),
+        )
+        .await
     }
 
     /// Ends a stream that can't be completed; its connection is closed without the stream's end.
--- a/src/direct/job/permit.rs
+++ b/src/direct/job/permit.rs
@@ -4,7 +4,7 @@
 use super::{AttemptOutcome, Job};
 use crate::clock::Millis;
 use crate::direct::directory::{Endpoint, EndpointKey};
-use crate::direct::limits::Step;
+use crate::direct::limits::PermitDecision;
 
 /// Time for which a permit is valid. Opening a connection takes less, and a process that was
 /// suspended meanwhile must not send after others have got later permits.
@@ -32,9 +32,9 @@
             return true;
         }
         let asked = self.entry.clock.now();
-        let is_permitted = match self.entry.permit(key, self.band()).await {
-            Step::Unlimited => true,
-            Step::Permitted => {
+        let is_permitted = match self.entry.request_permit(key, self.band()).await {
+            PermitDecision::Unlimited => true,
+            PermitDecision::Permitted => {
                 let until = asked + PERMIT_VALIDITY;
                 self.permit = Some(Permit {
                     endpoint: key,
@@ -42,7 +42,7 @@
                 });
                 true
             }
-            Step::Wait(_) | Step::Ask(_) => false,
+            PermitDecision::Wait(_) | PermitDecision::Ask(_) => false,
         };
         self.permit_refusals += u32::from(!is_permitted);
         is_permitted
@@ -55,7 +55,7 @@
 
     /// Whether a permit for the endpoint may be asked for now, or none is needed.
     pub(super) fn may_ask_permit(&self, endpoint: &Endpoint, now: Millis) -> bool {
-        let Some(ask_at) = self.entry.permit_at(endpoint.digest, self.band()) else {
+        let Some(ask_at) = self.entry.permit_request_at(endpoint.digest, self.band()) else {
             return true;
         };
         ask_at <= now && self.permit_refusals < MAX_PERMIT_REFUSALS
@@ -75,7 +75,7 @@
         if at > wait_until.min(self.deadline) {
             return AttemptOutcome::NoEndpoint;
         }
-        let waiting = self.entry.wait_for_permits();
+        let waiting = self.entry.count_waiting_for_permit();
         self.entry.clock.sleep_until(at).await;
         drop(waiting);
         self.permit_refusals = 0;
@@ -94,7 +94,7 @@
                 !self.tried.contains(key) && self.may_run_at(endpoint, &settings)
             });
         let band = self.band();
-        open.filter_map(|(_, endpoint)| self.entry.permit_at(endpoint.digest, band))
+        open.filter_map(|(_, endpoint)| self.entry.permit_request_at(endpoint.digest, band))
             .min()
     }
 
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -53,12 +53,12 @@
             return AttemptOutcome::TimeOver;
         }
         if !self.may_send(key, now) {
-            self.entry.keep_channel(key, connection);
+            self.entry.keep_connection(key, connection);
             return AttemptOutcome::NotAccepting(key);
         }
         // The endpoint may have announced its limit since it was chosen.
         if !self.is_within_limit(key) {
-            self.entry.keep_channel(key, connection);
+            self.entry.keep_connection(key, connection);
             return AttemptOutcome::NoPermit;
         }
         match self.entry.allow(self.ask) {
@@ -67,7 +67,7 @@
             Err(denied) => return AttemptOutcome::Denied(denied),
         }
         if !self.take_turn(now) {
-            self.entry.keep_channel(key, connection);
+            self.entry.keep_connection(key, connection);
             return AttemptOutcome::CopyRunning;
         }
         self.use_permit();
@@ -95,11 +95,11 @@
 
     /// A connection to an endpoint: an idle one, or a new one. `None` if it can't be reached.
     async fn open_connection(&self, key: EndpointKey) -> Option<Connection> {
-        if let Some(connection) = self.entry.idle_channel(key) {
+        if let Some(connection) = self.entry.take_idle_connection(key) {
             return Some(connection);
         }
         let address = self.entry.directory().get(key)?.listed.address;
-        self.entry.gauges.connection();
+        self.entry.metrics.connection();
         let connected = Connection::connect(address).await;
         if matches!(connected, Err(ExchangeError::Refused)) {
             self.entry.endpoint_ended(key, EndSign::Refused);
@@ -123,7 +123,7 @@
         self.record_placement(&choice);
         let run_guard = self
             .entry
-            .place(key, &self.pool, choice.footprint, self.fingerprint);
+            .begin_run(key, &self.pool, choice.footprint, self.fingerprint);
         let is_own = |head: &ResponseHead| self.is_own_answer(key, head);
         let sending = connection.send(head, &self.incoming.body, is_own);
         let reply = match self.wait_for_head(sending, key, now).await {
@@ -158,14 +158,14 @@
     /// but what the endpoint announces in it is applied all the same.
     fn is_own_answer(&self, key: EndpointKey, head: &ResponseHead) -> bool {
         let response_info = self.entry.dialect.response_info(head, &self.ask.id);
-        if !response_info.is_own {
+        if !response_info.belongs_to_request {
             let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
-            self.entry.endpoint_announced(key, announcement, id);
+            self.entry.record_announcement(key, announcement, id);
             let sent = Millis(0);
             self.entry
-                .endpoint_limited(key, announcement.limit, sent, id);
+                .record_announced_limit(key, announcement.limit, sent, id);
         }
-        response_info.is_own
+        response_info.belongs_to_request
     }
 
     /// Logs the attempt and returns the request head for the endpoint; `None` if it has left the
@@ -254,7 +254,8 @@
     /// Whether anything was received from an endpoint after `since`.
     fn was_heard_since(&self, key: EndpointKey, since: Millis) -> bool {
         let mut heard = Millis(0);
-        self.entry.account(key, |account| heard = account.heard);
+        self.entry
+            .update_endpoint_state(key, |endpoint_state| heard = endpoint_state.last_contact_at);
         heard > since
     }
 }
--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -6,7 +6,7 @@
 use super::Job;
 use crate::clock::Millis;
 use crate::direct::decision::RefusalReason;
-use crate::direct::entry::Account;
+use crate::direct::entry::EndpointState;
 use crate::quarantine::{QuarantineStatus, ENDS_TO_SEPARATE};
 
 /// Consecutive ends from which on a copy that has waited in vain for another one is refused rather
@@ -65,9 +65,9 @@
     /// a second one for each first one.
     fn is_end_being_checked(&self) -> bool {
         let last = self.tried.last();
-        let accounts = self.entry.accounts();
-        last.and_then(|key| accounts.get(*key))
-            .is_some_and(Account::is_checked)
+        let endpoint_states = self.entry.endpoint_states();
+        last.and_then(|key| endpoint_states.get(*key))
+            .is_some_and(EndpointState::is_end_check_running)
     }
 
     /// Takes the turn of a suspected request just before it is sent, and reports its start to
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -53,7 +53,7 @@
 
 fn admin(entry: &Entry, path: &str) -> Response<BoxBody> {
     match path {
-        METRICS_PATH => ok_response(entry.gauges.text().into_bytes()),
+        METRICS_PATH => ok_response(entry.metrics.text().into_bytes()),
         CATALOG_PATH => catalog(entry),
         _ if path.starts_with(CATALOG_SINCE_PATH) => {
             catalog_since(entry, &path[CATALOG_SINCE_PATH.len()..])
