--- a/src/direct/job/copy.rs
+++ b/src/direct/job/copy.rs
@@ -55,7 +55,10 @@
         };
         let has_events = self.position.get().last_event.is_some();
         let now = self.entry.clock.now();
-        if !has_events || self.resumes_from_copy || !self.entry.directory().takes_work(copy, now) {
+        if !has_events
+            || self.resumes_from_copy
+            || !self.entry.directory().accepts_requests(copy, now)
+        {
             return false;
         }
         if !self.is_last_endpoint_gone().await {
