--- a/src/direct/intake.rs
+++ b/src/direct/intake.rs
@@ -31,7 +31,8 @@
     pub head: RequestHead,
     /// The body; empty where there is none.
     pub body: Bytes,
-    /// When its first byte was read.
+    /// When its first byte was read; where that was read together with the request before, when
+    /// that request was done.
     pub received_at: Millis,
 }
 
@@ -108,7 +109,9 @@
                 Ok(read) => read,
                 Err(_) => Err(RequestReadError::Closed),
             },
-            _ = process_state.wait_for(|process_state| *process_state == ProcessState::Stopping) => Err(RequestReadError::Closed),
+            _ = process_state.wait_for(|state| *state == ProcessState::Stopping) => {
+                Err(RequestReadError::Closed)
+            }
         }
     }
 
