--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -85,7 +85,7 @@
             }
             QuarantineStatus::Suspect { .. } | QuarantineStatus::MustWait { .. } => {
                 self.turn_started = Some(now);
-                self.entry.suspect_began(self.fingerprint, now);
+                self.entry.record_suspect_start(self.fingerprint, now);
                 true
             }
         }
