--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -1,4 +1,4 @@
-//! A request that may run, with its attempts: which endpoints it is sent to and when it is over.
+//! An admitted request and its attempts: which endpoints it is sent to and when it ends.
 
 mod answer;
 mod choice;
@@ -32,41 +32,43 @@
 use crate::direct::resolve::{Allowed, Denied};
 use crate::fingerprint::Fingerprint;
 
-/// Time beyond a request's own in which the endpoint's last word is still waited for.
-const OVERTIME: Millis = Millis(60);
-/// Endpoints that may turn out unreachable before a request is given up; nothing was sent to them.
-const MOST_UNREACHABLE: u32 = 4;
+/// Time beyond a request's deadline in which the endpoint's answer is still awaited.
+const ANSWER_GRACE: Millis = Millis(60);
+/// Maximum number of endpoints that may be unreachable before a request is given up; nothing was
+/// sent to them.
+const MAX_UNREACHABLE: u32 = 4;
 
-/// How an attempt ended.
+/// How an attempt ended, or why none was made.
 #[derive(Debug)]
-enum Attempt {
-    /// The answer was delivered, or as much of it as there will be; whether the connection is kept.
-    Over(bool),
-    /// Nothing was sent to this endpoint.
+enum AttemptOutcome {
+    /// The answer was delivered, or as much of it as there will be. Holds whether the caller's
+    /// connection stays open.
+    Delivered(bool),
+    /// Nothing was sent to this endpoint: it could not be reached.
     NotSent(EndpointKey),
-    /// Since it was chosen, the endpoint has turned out to take no more requests for now; nothing was sent.
-    Withdrawn(EndpointKey),
-    /// The endpoint did not run it.
+    /// The endpoint stopped accepting requests after it was chosen; nothing was sent.
+    NotAccepting(EndpointKey),
+    /// The endpoint did not run the request.
     NotRun(EndpointKey),
-    /// It may have run.
+    /// The answer was lost; the endpoint may have run the request.
     Lost(EndpointKey),
     /// There is no endpoint to try.
     NoEndpoint,
-    /// It is not sent, since it would wait too long.
-    TurnedAway(RefusalReason),
-    /// It is no longer allowed.
+    /// The request is not sent, for the given reason.
+    NotAdmitted(RefusalReason),
+    /// The request is no longer allowed.
     Denied(Denied),
-    /// Another copy of what it asks for has begun to run, and comes first.
-    Waits,
-    /// The endpoint's limit is used up for now.
-    Limited,
-    /// The time was over.
+    /// Another copy of a suspected request has started and goes first.
+    CopyRunning,
+    /// No permit could be had for an endpoint with a rate limit; another attempt may follow.
+    NoPermit,
+    /// The request's deadline has passed.
     TimeOver,
     /// The caller can't be written to.
     CallerGone,
 }
 
-/// One request with everything that its attempts share.
+/// One request, with the state that its attempts share.
 #[derive(Debug)]
 pub struct Job<'a> {
     entry: &'a Rc<Entry>,
@@ -75,35 +77,36 @@
     progress: &'a RefCell<Progress>,
     /// The configuration that the request runs under.
     catalog: Rc<Catalog>,
-    /// Its route and team there.
+    /// The request's route and team in that configuration.
     allowed: Allowed,
-    /// What it asks for.
-    request: Fingerprint,
-    /// When it began to run under suspicion, for others that ask for the same.
-    turn: Option<Millis>,
-    /// The permit that it has, of an endpoint with a limit.
+    /// What the request asks for.
+    fingerprint: Fingerprint,
+    /// When the request started to run as a suspected one, as reported to peers; `None` where it is
+    /// not suspected or has not started.
+    turn_started: Option<Millis>,
+    /// The permit that it holds for an endpoint with a rate limit.
     permit: Option<Permit>,
-    /// Permits that it has asked for in vain since it waited last.
-    refusals: u32,
-    /// Until when it waits for a permit, once it has found none.
-    permit_by: Option<Millis>,
+    /// Number of permits that it was refused since it last waited for one.
+    permit_refusals: u32,
+    /// Until when it waits for a permit; set once it finds none.
+    permit_deadline: Option<Millis>,
     /// Name of the pool whose endpoints it is sent to.
     pool: String,
-    /// When its time is over.
-    end: Millis,
+    /// When the request's time is over.
+    deadline: Millis,
     /// Endpoints that it is not sent to again.
     tried: Vec<EndpointKey>,
-    /// Attempts that count: sent, or about to be.
+    /// Number of attempts that were sent, or are about to be.
     attempts: u32,
     /// Whether an endpoint may have run any of it.
-    sent: bool,
-    /// Where it was sent last.
-    sent_to: Option<SocketAddr>,
-    /// Endpoint that keeps a copy of the run's memory.
-    copy: Option<EndpointKey>,
-    /// Whether the run is to go on from that copy.
-    takes_over: bool,
-    /// How far its answer has got; kept also when an attempt is dropped at the time limit.
+    may_have_run: bool,
+    /// The address that it was last sent to.
+    last_address: Option<SocketAddr>,
+    /// The endpoint that keeps a copy of the run's memory.
+    copy_key: Option<EndpointKey>,
+    /// Whether the next attempt resumes the run from that copy.
+    resumes_from_copy: bool,
+    /// How far the answer has got; also kept when an attempt is dropped at the deadline.
     position: Cell<StreamPosition>,
 }
 
@@ -120,33 +123,33 @@
         let route = &catalog.routes[allowed.route.0];
         let pool = pick_pool(route);
         let caller_timeout = ask.caller_timeout.unwrap_or(route.timeout);
-        let end = incoming.received_at + caller_timeout.min(route.timeout);
+        let deadline = incoming.received_at + caller_timeout.min(route.timeout);
         let team = allowed.team.map(|team| catalog.teams[team.0].name.as_str());
-        let request = fingerprint(team, ask, incoming);
-        let mut noted = progress.borrow_mut();
-        noted.route.clone_from(&route.name);
-        noted.pool.clone_from(&pool);
-        noted.urgency = Some(route.priority);
-        drop(noted);
+        let fingerprint = request_fingerprint(team, ask, incoming);
+        let mut recorded = progress.borrow_mut();
+        recorded.route.clone_from(&route.name);
+        recorded.pool.clone_from(&pool);
+        recorded.urgency = Some(route.priority);
+        drop(recorded);
         Self {
             entry,
             incoming,
             ask,
             progress,
             allowed,
-            request,
-            turn: None,
+            fingerprint,
+            turn_started: None,
             permit: None,
-            refusals: 0,
-            permit_by: None,
+            permit_refusals: 0,
+            permit_deadline: None,
             pool,
-            end,
+            deadline,
             tried: Vec::new(),
             attempts: 0,
-            sent: false,
-            sent_to: None,
-            copy: None,
-            takes_over: false,
+            may_have_run: false,
+            last_address: None,
+            copy_key: None,
+            resumes_from_copy: false,
             position: Cell::new(StreamPosition {
                 last_event: ask.last_event,
                 ..StreamPosition::default()
@@ -159,29 +162,30 @@
         &self.catalog.routes[self.allowed.route.0]
     }
 
-    /// Its urgency: the team's, otherwise the route's.
+    /// The request's urgency: its team's, or the route's where the team has none.
     fn priority(&self) -> u8 {
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let priority = team.and_then(|team| team.priority);
         priority.unwrap_or(self.route().priority)
     }
 
-    /// Band of urgency that decides what is sent, and which callers come back first: that of its kind, in the same order as
-    /// endpoints are told. By the team's, requests of the most urgent kind were turned away where less urgent kinds were sent.
+    /// The urgency band that decides which requests are sent and which callers retry first: that of
+    /// the route, in the order in which endpoints are told. With the team's band, requests of the
+    /// most urgent routes were turned away while those of less urgent routes were sent.
     fn band(&self) -> usize {
         load::band(self.route().priority)
     }
 
-    /// Until when the endpoint's last word is waited for, somewhat beyond the request's own time.
-    fn last_word(&self) -> Millis {
-        self.end + OVERTIME
+    /// Until when the endpoint's answer is awaited, somewhat beyond the request's deadline.
+    fn answer_deadline(&self) -> Millis {
+        self.deadline + ANSWER_GRACE
     }
 
-    fn has_attempts(&self) -> bool {
+    fn has_attempts_left(&self) -> bool {
         self.attempts < self.route().max_attempts
     }
 
-    /// Whether another run after one of unknown outcome is harmless.
+    /// Whether it is harmless to run the request again after an attempt with an unknown outcome.
     fn may_repeat(&self) -> bool {
         let position = self.position.get();
         match self.route().repeat {
@@ -201,63 +205,69 @@
         )
     }
 
-    /// Runs it to its end; false when the connection is to be closed.
+    /// Runs the request to its end; false if the caller's connection is to be closed.
     pub async fn run(&mut self, answerer: &mut Answerer) -> bool {
-        self.count_first();
+        self.count_request();
         let mut unreachable = 0;
         loop {
-            let sent_before = self.sent;
+            let ran_before = self.may_have_run;
             match self.attempt(answerer).await {
-                Attempt::Over(kept) => return kept,
-                Attempt::CallerGone => {
+                AttemptOutcome::Delivered(kept) => return kept,
+                AttemptOutcome::CallerGone => {
                     self.log_ended(RequestOutcome::CallerGone, 0);
                     return false;
                 }
-                Attempt::NotSent(key) => {
+                AttemptOutcome::NotSent(key) => {
                     self.tried.push(key);
                     unreachable += 1;
-                    if unreachable >= MOST_UNREACHABLE {
+                    if unreachable >= MAX_UNREACHABLE {
                         return self.give_up(answerer, RefusalReason::NoEndpoint).await;
                     }
                 }
-                // It is no sign that others can't be reached, so it does not count as one.
-                Attempt::Withdrawn(key) => self.tried.push(key),
-                Attempt::NotRun(key) => {
-                    // Its caller would be told 502 otherwise, as if it might have run, once no endpoint is left.
-                    self.sent = sent_before;
+                // Not counted as unreachable: it says nothing about whether other endpoints can be
+                // reached.
+                AttemptOutcome::NotAccepting(key) => self.tried.push(key),
+                AttemptOutcome::NotRun(key) => {
+                    // Otherwise, once no endpoint is left, the caller would get a 502, as if the
+                    // request might have run.
+                    self.may_have_run = ran_before;
                     self.tried.push(key);
-                    if !self.may_go_on() {
+                    if !self.may_retry() {
                         return self.give_up(answerer, RefusalReason::EndpointRefused).await;
                     }
                 }
-                Attempt::Lost(key) => {
+                AttemptOutcome::Lost(key) => {
                     self.tried.push(key);
-                    if self.may_take_over().await {
+                    if self.try_resume_from_copy().await {
                         continue;
                     }
-                    if !(self.may_repeat() && self.may_go_on()) {
-                        return self.lost(answerer).await;
+                    if !(self.may_repeat() && self.may_retry()) {
+                        return self.end_with_unknown_outcome(answerer).await;
                     }
                 }
-                Attempt::Waits | Attempt::Limited => {}
-                Attempt::TurnedAway(_) if self.sent => return self.lost(answerer).await,
-                Attempt::TurnedAway(why) => return self.give_up(answerer, why).await,
-                Attempt::NoEndpoint if self.sent => return self.lost(answerer).await,
-                Attempt::NoEndpoint => {
+                AttemptOutcome::CopyRunning | AttemptOutcome::NoPermit => {}
+                AttemptOutcome::NotAdmitted(_) if self.may_have_run => {
+                    return self.end_with_unknown_outcome(answerer).await
+                }
+                AttemptOutcome::NotAdmitted(why) => return self.give_up(answerer, why).await,
+                AttemptOutcome::NoEndpoint if self.may_have_run => {
+                    return self.end_with_unknown_outcome(answerer).await
+                }
+                AttemptOutcome::NoEndpoint => {
                     return self.give_up(answerer, RefusalReason::NoEndpoint).await
                 }
-                Attempt::Denied(denied) if !self.sent => {
+                AttemptOutcome::Denied(denied) if !self.may_have_run => {
                     return refuse::deny(self.entry, answerer, self.ask, self.incoming, denied)
                         .await
                 }
-                Attempt::Denied(_) => return self.lost(answerer).await,
-                Attempt::TimeOver => return self.time_over(answerer).await,
+                AttemptOutcome::Denied(_) => return self.end_with_unknown_outcome(answerer).await,
+                AttemptOutcome::TimeOver => return self.end_at_deadline(answerer).await,
             }
         }
     }
 
     /// Counts the request in the pool's retry budget.
-    fn count_first(&self) {
+    fn count_request(&self) {
         let now = self.entry.clock.now();
         let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let mut retries = self.entry.retries.borrow_mut();
@@ -265,13 +275,14 @@
         window.first(now, allowance);
     }
 
-    /// Whether the request may be sent to another endpoint, after one had it.
-    fn may_go_on(&self) -> bool {
+    /// Whether the request may be sent to another endpoint; if so, counts it against the retry
+    /// budget.
+    fn may_retry(&self) -> bool {
         let now = self.entry.clock.now();
-        self.has_attempts() && now < self.end && self.take_retry(now)
+        self.has_attempts_left() && now < self.deadline && self.take_retry(now)
     }
 
-    /// Whether the retry budget of all entries allows one more; counts it.
+    /// Whether the retry budget of all entries allows one more retry; if so, counts it.
     fn take_retry(&self, now: Millis) -> bool {
         let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let entries = self.entry.peers.borrow().entries(now);
@@ -281,8 +292,12 @@
     }
 }
 
-/// What a request asks for.
-fn fingerprint(team: Option<&str>, ask: &ParsedRequest, incoming: &IncomingRequest) -> Fingerprint {
+/// The fingerprint of what a request asks for.
+fn request_fingerprint(
+    team: Option<&str>,
+    ask: &ParsedRequest,
+    incoming: &IncomingRequest,
+) -> Fingerprint {
     let head = &incoming.head;
     let target = head.uri.path_and_query();
     let target = target.map_or("", |target| target.as_str());
@@ -290,7 +305,7 @@
     Fingerprint::of(team.unwrap_or_default(), &target, &incoming.body)
 }
 
-/// Picks one of a route's pools by weight.
+/// Picks one of a route's pools at random by weight.
 fn pick_pool(route: &Route) -> String {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
     let mut at = rand::thread_rng().gen_range(0..total.max(1));
