--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -1,4 +1,4 @@
-//! What a coordinator gives out for one endpoint, and who that is.
+//! Permits that the coordinator of a limited endpoint issues, and which entry is the coordinator.
 
 mod common;
 
@@ -18,13 +18,14 @@
     is_settled: true,
 };
 
-/// The most permits in 4 s of one coordinator that is asked all the time.
-fn most(limit: f64, part: f64) -> usize {
-    let mut allowance = PermitBucket::with_one_permit(Millis(0));
+/// The most permits that one coordinator issues in any 4 s while it is asked every millisecond.
+/// `limit` is in requests per second, `share` the part of the limit that it issues.
+fn max_permits(limit: f64, share: f64) -> usize {
+    let mut bucket = PermitBucket::with_one_permit(Millis(0));
     let limit = Rate((limit * 1_000.0) as u32);
     let mut given = Vec::new();
     for now in 5_000..20_000 {
-        if allowance.take(limit, part, 0, 1, Millis(now)).is_ok() {
+        if bucket.take(limit, share, 0, 1, Millis(now)).is_ok() {
             given.push(now);
         }
     }
@@ -34,56 +35,60 @@
     counts.max().unwrap()
 }
 
-/// Two coordinators that don't know of each other keep the bound together, with what was saved up.
+/// Two coordinators that do not know of each other together stay within 1.5 times the limit plus
+/// the permits that had accumulated.
 #[test]
-fn two_coordinators() {
+fn two_coordinators_stay_within_limit() {
     for limit in [0.0, 0.2, 0.5, 1.0, 3.3, 10.0, 50.0, 500.0] {
         let allowed = (1.5 * limit * 4.0 + 5.0) as usize;
-        let most = most(limit, 1.0);
-        assert!(2 * most <= allowed, "{limit}: twice {most} of {allowed}");
+        let max_permits = max_permits(limit, 1.0);
+        assert!(
+            2 * max_permits <= allowed,
+            "{limit}: twice {max_permits} of {allowed}"
+        );
         let least = (0.6 * limit * 4.0) as usize;
-        assert!(most >= least, "{limit}: {most}");
+        assert!(max_permits >= least, "{limit}: {max_permits}");
     }
 }
 
-/// Those that see a part of the entries give out that part.
+/// A coordinator that sees only a part of the entries issues that part of the limit.
 #[test]
-fn parts_of_fleet() {
-    for part in [1.0, 0.5, 0.1, 0.02] {
-        let share = 50.0 * 4.0 * part;
-        let most = most(50.0, part) as f64;
+fn issues_visible_share() {
+    for share in [1.0, 0.5, 0.1, 0.02] {
+        let expected = 50.0 * 4.0 * share;
+        let max_permits = max_permits(50.0, share) as f64;
         assert!(
-            most <= 0.7 * share + 4.0 && most >= 0.6 * share,
-            "{part}: {most}"
+            max_permits <= 0.7 * expected + 4.0 && max_permits >= 0.6 * expected,
+            "{share}: {max_permits}"
         );
     }
 }
 
-/// A more urgent one that found nothing gets the next permit; the less urgent go on to get some.
+/// An urgent asker that found no permit gets the next one; less urgent askers still get some.
 #[test]
-fn urgent_first() {
-    let mut allowance = PermitBucket::empty_until(Millis(0));
+fn urgent_band_first() {
+    let mut bucket = PermitBucket::empty_until(Millis(0));
     let limit = Rate(1_000);
-    let turn = allowance.take(limit, 1.0, 0, 1, Millis(100)).unwrap_err();
-    assert!(allowance.take(limit, 1.0, 2, 1, turn).is_err());
-    assert!(allowance.take(limit, 1.0, 0, 1, turn).is_ok());
+    let turn = bucket.take(limit, 1.0, 0, 1, Millis(100)).unwrap_err();
+    assert!(bucket.take(limit, 1.0, 2, 1, turn).is_err());
+    assert!(bucket.take(limit, 1.0, 0, 1, turn).is_ok());
     let mut given = [0; 3];
     for now in (0..100_000).step_by(50) {
         for band in [2, 0] {
-            let taken = allowance.take(limit, 1.0, band, 1, turn + Millis(now));
+            let taken = bucket.take(limit, 1.0, band, 1, turn + Millis(now));
             given[band] += taken.unwrap_or(0);
         }
     }
     assert!(given[0] > 5 * given[2] && given[2] > 0, "{given:?}");
 }
 
-/// A limit that rises from 1 to 10 and falls again is kept at once.
+/// A limit that rises from 1 to 10 and falls again takes effect at once.
 #[test]
-fn limit_changes() {
-    let mut allowance = PermitBucket::with_one_permit(Millis(0));
+fn follows_limit_changes() {
+    let mut bucket = PermitBucket::with_one_permit(Millis(0));
     let mut count = |limit, from: u64| {
         let given = (from..from + 4_000).filter(|now| {
-            let taken = allowance.take(Rate(limit), 1.0, 0, 1, Millis(*now));
+            let taken = bucket.take(Rate(limit), 1.0, 0, 1, Millis(*now));
             taken.is_ok()
         });
         given.count()
@@ -92,9 +97,10 @@
     assert!(count(1_000, 4_000) <= 5);
 }
 
-/// A process that stood still gives out nothing until it has looked around; what it held before is gone.
+/// A process that was stalled issues nothing until entries had time to settle; permits that it had
+/// before are gone.
 #[test]
-fn stood_still() {
+fn stalled_process_issues_nothing() {
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
     limits.record_answer(
@@ -127,9 +133,9 @@
     }
 }
 
-/// A peer that asks learns who decides, and that a limit has ended.
+/// A peer that asks learns who the coordinator is, and that a limit has ended.
 #[test]
-fn answers() {
+fn redirects_and_reports_ended_limit() {
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
     let mut asker = Limits::default();
@@ -152,9 +158,9 @@
     assert_eq!(asker.limit(TARGET.endpoint, Millis(1_014)), None);
 }
 
-/// A peer that doesn't answer is not asked for a time, and nothing is sent meanwhile.
+/// A peer that does not respond is not asked for a time, and nothing is sent meanwhile.
 #[test]
-fn no_answer() {
+fn unresponsive_peer_is_not_asked() {
     let mut limits = Limits::default();
     limits.record_answer(
         TARGET,
@@ -163,65 +169,75 @@
         Millis(10),
     );
     let peer = ([10, 0, 0, 9], 7_000).into();
-    let step = limits.decide(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
-    assert_eq!(step, PermitDecision::Ask(peer));
-    let step = limits.handle_response(TARGET, peer, None, 0, Millis(1_150));
-    assert!(matches!(step, PermitDecision::Wait(_)));
+    let decision = limits.decide(TARGET, Coordinator::Peer(peer), 0, Millis(1_000));
+    assert_eq!(decision, PermitDecision::Ask(peer));
+    let decision = limits.handle_response(TARGET, peer, None, 0, Millis(1_150));
+    assert!(matches!(decision, PermitDecision::Wait(_)));
     assert!(limits.is_unresponsive(peer, Millis(1_500)));
 }
 
-/// Books of three entries, one in each of two zones and one more, that hear each other at a time.
-fn books(zones: &[&str], now: Millis) -> Vec<PeerTable> {
+/// Peer tables of one entry in each zone that received messages from each other at `now`.
+fn tables(zones: &[&str], now: Millis) -> Vec<PeerTable> {
     let address = |i: usize| ([10, 0, 0, i as u8], 7_000).into();
     let member = |i: usize| {
-        let mut book = PeerTable::new(address(i), &[], i as u32);
-        book.set_zone(zones[i]);
+        let mut table = PeerTable::new(address(i), &[], i as u32);
+        table.set_zone(zones[i]);
         for (peer, zone) in zones.iter().enumerate().filter(|(peer, _)| *peer != i) {
             let hello = GossipMessage {
                 zone: ZoneId::of(zone),
                 ..hello(peer as u64, 1, None)
             };
-            book.record_message(address(peer), &hello, now);
+            table.record_message(address(peer), &hello, now);
         }
-        book.update_serving_peers(false, now);
-        book
+        table.update_serving_peers(false, now);
+        table
     };
     (0..zones.len()).map(member).collect()
 }
 
-/// All entries name the same coordinator, one of the endpoint's zone; when that falls silent, another one, which gives out the
-/// part that it sees.
+/// All entries agree on one coordinator in the endpoint's zone. When that one falls silent, exactly
+/// one other takes over, and issues the share that it sees.
 #[test]
 fn one_coordinator() {
     let zones = ["a", "b", "c"];
-    let mut books = books(&zones, Millis(5_000));
-    let by = |books: &[PeerTable], i: usize, endpoint, now| {
-        books[i].coordinator(endpoint, ZoneId::of("b"), Millis(0), Millis(now), |_| false)
+    let mut tables = tables(&zones, Millis(5_000));
+    let coordinator_at = |tables: &[PeerTable], i: usize, endpoint, now| {
+        tables[i].coordinator(endpoint, ZoneId::of("b"), Millis(0), Millis(now), |_| false)
     };
     for endpoint in 0..20 {
         let b = ([10, 0, 0, 1], 7_000).into();
-        assert_eq!(by(&books, 0, endpoint, 5_500), Coordinator::Peer(b));
-        assert_eq!(by(&books, 2, endpoint, 5_500), Coordinator::Peer(b));
+        assert_eq!(
+            coordinator_at(&tables, 0, endpoint, 5_500),
+            Coordinator::Peer(b)
+        );
+        assert_eq!(
+            coordinator_at(&tables, 2, endpoint, 5_500),
+            Coordinator::Peer(b)
+        );
         assert!(
-            matches!(by(&books, 1, endpoint, 5_500), Coordinator::Own { visible_share, .. } if visible_share == 1.0)
+            matches!(coordinator_at(&tables, 1, endpoint, 5_500), Coordinator::Own { visible_share, .. } if visible_share == 1.0)
         );
     }
-    // The entry of the zone falls silent.
+    // The only entry of the zone falls silent.
     for (i, peer) in [(0, 2), (2, 0)] {
         let hello = GossipMessage {
             zone: ZoneId::of(zones[peer]),
             ..hello(peer as u64, 2, None)
         };
-        books[i].record_message(
+        tables[i].record_message(
             ([10, 0, 0, peer as u8], 7_000).into(),
             &hello,
             Millis(8_000),
         );
-        books[i].update_serving_peers(false, Millis(8_000));
+        tables[i].update_serving_peers(false, Millis(8_000));
     }
     for endpoint in 0..20 {
-        let own = [0, 2].map(|i| by(&books, i, endpoint, 8_100));
-        let is_own = |by: &Coordinator| matches!(by, Coordinator::Own { visible_share, .. } if *visible_share < 0.7);
-        assert_eq!(own.iter().filter(|by| is_own(by)).count(), 1, "{own:?}");
+        let own = [0, 2].map(|i| coordinator_at(&tables, i, endpoint, 8_100));
+        let is_own = |coordinator: &Coordinator| matches!(coordinator, Coordinator::Own { visible_share, .. } if *visible_share < 0.7);
+        assert_eq!(
+            own.iter().filter(|coordinator| is_own(coordinator)).count(),
+            1,
+            "{own:?}"
+        );
     }
 }
