--- a/tests/urgency_told.rs
+++ b/tests/urgency_told.rs
@@ -1,6 +1,8 @@
-//! In a burst 31 to 223 requests were preempted at endpoints while less urgent kinds ran on there, streams of the most urgent
-//! route among them. Each endpoint had been told the team's urgency in place of the route's: `placed` lines of every route had
-//! `"priority":0` and `"priority":1`, by the team alone, so a stream of one team gave way to a summary of another.
+//! Guards against endpoints preempting requests of an urgent route for less urgent ones. Endpoints
+//! were sent the urgency of the team in place of that of the route (`placed` lines of every route
+//! had `"priority":0` and `"priority":1`, by the team alone), so a stream of one team gave way to a
+//! summary of another. In a burst 31 to 223 requests were preempted while less urgent kinds ran on,
+//! streams of the most urgent route among them.
 
 use violetline::direct::load::urgency_at_endpoint;
 
