--- a/tests/limited/day.rs
+++ b/tests/limited/day.rs
@@ -1,36 +1,36 @@
-//! What a simulated day before engines that name limits is made of.
+//! Parameters of a simulated fleet in front of engines that announce limits.
 
-/// Who gets the callers' requests.
+/// How callers' requests are distributed over the entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Traffic {
-    /// All entries alike.
+    /// Evenly over all entries.
     Even,
-    /// One entry nearly all.
+    /// Nine tenths to one entry, the rest evenly.
     One,
-    /// The entries of one zone nearly all, another zone every five seconds.
+    /// Nine tenths to the entries of one zone, another zone every five seconds.
     Moving,
 }
 
-/// What happens to entries, one after the other.
+/// Disruptions, one after the other.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
+pub enum Disruption {
     None,
-    /// A planned stop and a start.
+    /// An entry stops as planned and starts again.
     Rolls,
-    /// An end without a word and a start.
+    /// An entry ends without notice and starts again.
     Kills,
-    /// No datagrams to and from an entry for three seconds; it reaches the engines.
+    /// No datagrams to or from an entry for three seconds; it still reaches the engines.
     Cuts,
-    /// The zones hear each other no more; all reach the engines.
+    /// No datagrams between zones for three seconds; all entries still reach the engines.
     Split,
-    /// An entry stands still for three seconds.
+    /// An entry is stalled for three seconds.
     Freezes,
     /// All of these in turn.
     Mixed,
 }
 
-impl Trouble {
-    /// All that happens.
+impl Disruption {
+    /// All kinds of disruption.
     pub const ALL: [Self; 6] = [
         Self::Rolls,
         Self::Kills,
@@ -41,31 +41,31 @@
     ];
 }
 
-/// What a day is made of.
+/// Parameters of one simulation.
 #[derive(Debug, Clone, Copy)]
-pub struct Day {
+pub struct Scenario {
     pub entries: usize,
     pub zones: usize,
-    /// Engines that name a limit.
-    pub limited: usize,
-    /// Engines that don't.
-    pub free: usize,
-    /// The limit, in thousandths of a request a second.
+    /// Number of engines that announce a limit.
+    pub limited_engines: usize,
+    /// Number of engines without a limit.
+    pub unlimited_engines: usize,
+    /// The limit of each limited engine, in thousandths of a request per second.
     pub limit: u32,
-    /// Callers' requests a second.
+    /// Callers' requests per second.
     pub rate: u64,
     pub traffic: Traffic,
-    pub trouble: Trouble,
-    /// Time between two troubles.
-    pub every: u64,
+    pub disruption: Disruption,
+    /// Time between two disruptions, in ms.
+    pub interval_ms: u64,
     pub seconds: u64,
     pub seed: u64,
-    /// Whether entries keep limits at all.
-    pub keeps: bool,
+    /// Whether entries need permits for limited engines.
+    pub uses_permits: bool,
 }
 
-impl Day {
-    /// A day before one engine with a limit of two a second, with more work than it takes.
+impl Scenario {
+    /// Six engines with a limit of two requests per second each, and more requests than they take.
     pub fn new(entries: usize) -> Self {
         Self {
             entries,
@@ -74,16 +74,16 @@
                 31..=100 => 5,
                 _ => 12,
             },
-            limited: 6,
-            free: 0,
+            limited_engines: 6,
+            unlimited_engines: 0,
             limit: 2_000,
             rate: 60,
             traffic: Traffic::Even,
-            trouble: Trouble::None,
-            every: 1_500,
+            disruption: Disruption::None,
+            interval_ms: 1_500,
             seconds: 40,
             seed: 1,
-            keeps: true,
+            uses_permits: true,
         }
     }
 }
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of entries in simulated time before engines that name limits, with their rounds and datagrams.
+//! Simulates a fleet of entries in front of engines that announce limits, with gossip rounds and
+//! datagrams.
 
 mod day;
 mod figures;
@@ -16,35 +17,36 @@
 };
 use violetline::rate::Rate;
 
-pub use self::day::{Day, Traffic, Trouble};
+pub use self::day::{Disruption, Scenario, Traffic};
 use crate::common;
 
-/// Time of a datagram, and of a request, on its way.
-const WAY: u64 = 2;
-/// Time that an engine takes for an answer.
-const RUNS: u64 = 50;
-/// Time in which a question is answered.
+/// Time that a datagram or a request takes to arrive, in ms.
+const TRANSIT_TIME: u64 = 2;
+/// Time that an engine takes for an answer, in ms.
+const RUN_TIME: u64 = 50;
+/// Time after which a permit request counts as unanswered, in ms.
 const ANSWER_TIME: u64 = 150;
-/// Time that a request waits for a permit.
-const WAITS: u64 = 250;
-/// Permits that it asks for in vain.
-const MOST_REFUSALS: u32 = 3;
-/// Bytes of a datagram of work to a neighbour and to another zone, as in a busy fleet.
+/// Longest time that a request waits for a permit, in ms.
+const MAX_PERMIT_WAIT: u64 = 250;
+/// Permits that a request is refused before it stops trying limited engines.
+const MAX_REFUSALS: u32 = 3;
+/// Bytes of a gossip datagram to a neighbor and to another zone, as in a busy fleet.
 const HELLO_BYTES: [usize; 2] = [600, 1_000];
-/// Time after which an entry that passed on a limit is bound by it.
-const SLACK: u64 = 500;
-/// Time for which an entry that stops is still there.
-const STOPS: u64 = 2_500;
-/// Time after which one that ended is back.
-const BACK: u64 = 1_000;
-/// Largest number of seeds in the settings.
+/// Time after an entry passed on an answer with the limit from which its requests count against the
+/// limit, in ms.
+const GRACE_TIME: u64 = 500;
+/// Time that a planned stop takes, in ms.
+const STOP_TIME: u64 = 2_500;
+/// Time after which an entry that ended starts again, in ms.
+const RESTART_TIME: u64 = 1_000;
+/// Largest number of seeds in an entry's settings.
 const SEEDS: usize = 3;
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct CallerRequest {
     entry: usize,
     band: usize,
-    came: u64,
+    arrived_at: u64,
     refusals: u32,
 }
 
@@ -53,20 +55,20 @@
     Round(usize),
     GossipMessage(usize, usize, Box<GossipMessage>),
     Limits(usize, usize, Message),
-    /// A caller's request comes, or looks again.
-    Asks(Asked),
-    /// One that waited for a permit looks again.
-    Waited(Asked),
+    /// A caller's request arrives, or tries another engine.
+    Asks(CallerRequest),
+    /// A request that waited for a permit tries again.
+    Waited(CallerRequest),
     TimeOver(usize, u32, u32),
-    Reaches(Asked, usize, u32),
+    Reaches(CallerRequest, usize, u32),
     Answered(usize, usize, u64, u32),
-    Trouble(u64),
+    Disruption(u64),
     Ends(usize),
     Starts(usize),
 }
 
 struct Question {
-    asked: Asked,
+    request: CallerRequest,
     engine: usize,
     peer: usize,
     hops: u32,
@@ -82,16 +84,16 @@
     cut_until: u64,
     started: u64,
     questions: HashMap<u32, Question>,
-    /// Requests that wait for a permit.
+    /// Number of requests that wait for a permit.
     waiting: u32,
     next: u32,
-    /// When it passed on an answer with the limit first, by engine.
+    /// When it first passed on an answer with the limit, by engine.
     told: HashMap<usize, u64>,
-    /// Bytes in each second.
-    bytes: BTreeMap<u64, u64>,
+    /// Bytes sent in datagrams about limits, by second.
+    bytes_sent: BTreeMap<u64, u64>,
 }
 
-/// A request at an engine.
+/// The arrival of a request at an engine. `knew` tells whether its entry knew of the limit.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: u64,
@@ -99,7 +101,7 @@
 }
 
 pub struct Fleet {
-    day: Day,
+    scenario: Scenario,
     members: Vec<Member>,
     by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
@@ -111,8 +113,8 @@
     split_until: u64,
     pub refused: u64,
     pub served: u64,
-    /// Requests that were refused or served while a free engine was there.
-    pub to_free: u64,
+    /// Requests that were served by engines without a limit.
+    pub served_by_unlimited: u64,
 }
 
 fn address(i: usize) -> SocketAddr {
@@ -127,23 +129,25 @@
 }
 
 impl Fleet {
-    pub fn new(day: Day) -> Self {
+    pub fn new(scenario: Scenario) -> Self {
         let mut fleet = Self {
-            day,
-            members: (0..day.entries).map(|i| member(i, day, 0, 0)).collect(),
-            by_address: (0..day.entries).map(|i| (address(i), i)).collect(),
+            scenario,
+            members: (0..scenario.entries)
+                .map(|i| member(i, scenario, 0, 0))
+                .collect(),
+            by_address: (0..scenario.entries).map(|i| (address(i), i)).collect(),
             events: BinaryHeap::new(),
             due: HashMap::new(),
             number: 0,
             now: 0,
-            rng: SmallRng::seed_from_u64(day.seed),
-            arrivals: vec![Vec::new(); day.limited + day.free],
+            rng: SmallRng::seed_from_u64(scenario.seed),
+            arrivals: vec![Vec::new(); scenario.limited_engines + scenario.unlimited_engines],
             split_until: 0,
             refused: 0,
             served: 0,
-            to_free: 0,
+            served_by_unlimited: 0,
         };
-        for i in 0..day.entries {
+        for i in 0..scenario.entries {
             let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
@@ -156,21 +160,22 @@
         self.events.push(std::cmp::Reverse((time, self.number)));
     }
 
-    /// Plays the day: some seconds in which entries find each other, then the callers and the troubles.
-    pub fn play(&mut self) {
+    /// Runs the simulation: some seconds in which entries find each other, then the callers and the
+    /// disruptions.
+    pub fn run(&mut self) {
         const QUIET: u64 = 3_000;
-        let end = QUIET + self.day.seconds * 1_000;
-        for n in 0..self.day.seconds * self.day.rate {
-            let asked = Asked {
+        let end = QUIET + self.scenario.seconds * 1_000;
+        for n in 0..self.scenario.seconds * self.scenario.rate {
+            let request = CallerRequest {
                 entry: 0,
                 band: self.rng.gen_range(0..3),
-                came: 0,
+                arrived_at: 0,
                 refusals: 0,
             };
-            self.at(QUIET + n * 1_000 / self.day.rate, Event::Asks(asked));
+            self.at(QUIET + n * 1_000 / self.scenario.rate, Event::Asks(request));
         }
-        if self.day.trouble != Trouble::None {
-            self.at(QUIET + 6_000, Event::Trouble(0));
+        if self.scenario.disruption != Disruption::None {
+            self.at(QUIET + 6_000, Event::Disruption(0));
         }
         while let Some(std::cmp::Reverse((time, number))) = self.events.pop() {
             if time >= end {
@@ -178,16 +183,16 @@
             }
             self.now = time;
             if let Some(event) = self.due.remove(&number) {
-                self.happens(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let of = match &event {
             Event::Round(i) | Event::GossipMessage(i, ..) | Event::Limits(i, ..) => Some(*i),
             Event::TimeOver(i, ..) | Event::Answered(i, ..) => Some(*i),
-            Event::Waited(asked) => Some(asked.entry),
+            Event::Waited(request) => Some(request.entry),
             _ => None,
         };
         let frozen = of.map_or(0, |i| self.members[i].frozen_until);
@@ -198,26 +203,26 @@
             Event::Round(i) => self.round(i),
             Event::GossipMessage(i, from, hello) => self.hear(i, from, &hello),
             Event::Limits(i, from, message) => self.take(i, from, message),
-            Event::Asks(asked) => self.asks(asked),
-            Event::Waited(asked) => {
-                let waiting = &mut self.members[asked.entry].waiting;
+            Event::Asks(request) => self.asks(request),
+            Event::Waited(request) => {
+                let waiting = &mut self.members[request.entry].waiting;
                 *waiting = waiting.saturating_sub(1);
-                self.asks(asked);
+                self.asks(request);
             }
             Event::TimeOver(i, life, number) => self.time_over(i, life, number),
-            Event::Reaches(asked, engine, life) => self.reaches(asked, engine, life),
+            Event::Reaches(request, engine, life) => self.reaches(request, engine, life),
             Event::Answered(i, engine, sent, life) => self.answered(i, engine, sent, life),
-            Event::Trouble(count) => self.trouble(count),
+            Event::Disruption(count) => self.disruption(count),
             Event::Ends(i) => {
                 self.members[i].is_up = false;
-                let back = self.now + BACK;
+                let back = self.now + RESTART_TIME;
                 self.at(back, Event::Starts(i));
             }
             Event::Starts(i) => {
                 let life = self.members[i].life + 1;
-                let bytes = std::mem::take(&mut self.members[i].bytes);
-                self.members[i] = member(i, self.day, life, self.now);
-                self.members[i].bytes = bytes;
+                let bytes = std::mem::take(&mut self.members[i].bytes_sent);
+                self.members[i] = member(i, self.scenario, life, self.now);
+                self.members[i].bytes_sent = bytes;
             }
         }
     }
@@ -249,7 +254,10 @@
                 .book
                 .record_sent_bytes(tell.work_scope, bytes);
             if self.passes(i, to) {
-                self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
+                self.at(
+                    self.now + TRANSIT_TIME,
+                    Event::GossipMessage(to, i, Box::new(hello)),
+                );
             }
             let since = self.members[i].book.notices_since(tell.work_scope, now);
             let recent_observations = self.members[i].limits.recent_observations(since, now);
@@ -263,8 +271,9 @@
         let now = self.time();
         let member = &mut self.members[i];
         let number = member.book.next_number(now);
-        // Rounds of a large fleet are played with less, and tell the same.
-        let tells = self.day.entries <= 30 || number % 16 == 0;
+        // In large fleets only some rounds list other entries, to save time; entries learn the same
+        // from them.
+        let tells = self.scenario.entries <= 30 || number % 16 == 0;
         let peer_addresses = match tells {
             true => member.book.peer_addresses(to, now),
             false => Vec::new(),
@@ -283,10 +292,10 @@
         }
     }
 
-    /// Whether a datagram arrives.
+    /// Whether a datagram arrives; one in a hundred is lost.
     fn passes(&mut self, from: usize, to: usize) -> bool {
         let is_cut = |i: usize| self.members[i].cut_until > self.now;
-        let zone = |i: usize| i % self.day.zones;
+        let zone = |i: usize| i % self.scenario.zones;
         let is_split = self.split_until > self.now && zone(from) != zone(to);
         let is_lost = self.rng.gen_ratio(1, 100);
         !is_lost && !is_cut(from) && !is_cut(to) && !is_split && self.members[to].is_up
@@ -296,9 +305,9 @@
         let bytes = limits::encode(&message).unwrap();
         let message = limits::decode(&bytes).unwrap();
         let second = self.now / 1_000;
-        *self.members[from].bytes.entry(second).or_default() += bytes.len() as u64;
+        *self.members[from].bytes_sent.entry(second).or_default() += bytes.len() as u64;
         if self.passes(from, to) {
-            self.at(self.now + WAY, Event::Limits(to, from, message));
+            self.at(self.now + TRANSIT_TIME, Event::Limits(to, from, message));
         }
     }
 
@@ -328,16 +337,16 @@
             }
             Message::Answer(answer) => {
                 if let Some(question) = self.members[i].questions.remove(&answer.number) {
-                    let t = target(question.engine, self.day.zones);
-                    let (peer, band) = (address(question.peer), question.asked.band);
+                    let t = target(question.engine, self.scenario.zones);
+                    let (peer, band) = (address(question.peer), question.request.band);
                     let limits = &mut self.members[i].limits;
-                    let step = limits.handle_response(t, peer, Some(&answer), band, now);
-                    self.steps(question.asked, question.engine, step, question.hops);
+                    let decision = limits.handle_response(t, peer, Some(&answer), band, now);
+                    self.apply_decision(question.request, question.engine, decision, question.hops);
                 }
             }
             Message::Told(told) => {
                 for (endpoint, word) in told {
-                    let t = target(endpoint as usize - 1, self.day.zones);
+                    let t = target(endpoint as usize - 1, self.scenario.zones);
                     self.members[i]
                         .limits
                         .record_peer_observation(t, word.observation(now), now);
@@ -357,43 +366,44 @@
     }
 
     fn pick_entry(&mut self) -> usize {
-        let entries = self.day.entries;
-        let zone = (self.now / 5_000) as usize % self.day.zones;
+        let entries = self.scenario.entries;
+        let zone = (self.now / 5_000) as usize % self.scenario.zones;
         let is_other = self.rng.gen_ratio(1, 10);
-        match self.day.traffic {
+        match self.scenario.traffic {
             Traffic::Even => self.rng.gen_range(0..entries),
             _ if is_other => self.rng.gen_range(0..entries),
             Traffic::One => 0,
             Traffic::Moving => {
-                let in_zone = entries.div_ceil(self.day.zones);
-                let picked = self.rng.gen_range(0..in_zone) * self.day.zones + zone;
+                let in_zone = entries.div_ceil(self.scenario.zones);
+                let picked = self.rng.gen_range(0..in_zone) * self.scenario.zones + zone;
                 picked.min(entries - 1)
             }
         }
     }
 
-    fn asks(&mut self, mut asked: Asked) {
-        if asked.came == 0 {
-            asked.came = self.now;
-            asked.entry = self.pick_entry();
-            if self.members[asked.entry].frozen_until > self.now {
-                return self.at(self.now, Event::Asks(asked));
+    fn asks(&mut self, mut request: CallerRequest) {
+        if request.arrived_at == 0 {
+            request.arrived_at = self.now;
+            request.entry = self.pick_entry();
+            if self.members[request.entry].frozen_until > self.now {
+                return self.at(self.now, Event::Asks(request));
             }
         }
-        let member = &self.members[asked.entry];
-        // The balancer sends to those that are ready; what one that ended had is lost.
-        if !member.is_up || (member.is_leaving && asked.came == self.now) {
+        let member = &self.members[request.entry];
+        // The load balancer sends new requests only to entries that are ready; requests of an entry
+        // that ended are lost.
+        if !member.is_up || (member.is_leaving && request.arrived_at == self.now) {
             return;
         }
         let now = self.time();
-        let engines = 0..self.day.limited + self.day.free;
+        let engines = 0..self.scenario.limited_engines + self.scenario.unlimited_engines;
         let permit_request_at = |engine: usize| {
             let endpoint = target(engine, 1).endpoint;
-            member.limits.permit_request_at(endpoint, asked.band, now)
+            member.limits.permit_request_at(endpoint, request.band, now)
         };
-        let keeps = self.day.keeps;
+        let uses_permits = self.scenario.uses_permits;
         let is_open = |engine: &usize| match permit_request_at(*engine) {
-            Some(at) if keeps => at <= now && asked.refusals < MOST_REFUSALS,
+            Some(at) if uses_permits => at <= now && request.refusals < MAX_REFUSALS,
             _ => true,
         };
         let open: Vec<usize> = engines.clone().filter(is_open).collect();
@@ -402,46 +412,56 @@
                 .filter_map(permit_request_at)
                 .min()
                 .unwrap_or(Millis(0));
-            let at = first.0.max(self.now) + 5 * (1 + asked.band as u64);
-            if at > asked.came + WAITS {
+            let at = first.0.max(self.now) + 5 * (1 + request.band as u64);
+            if at > request.arrived_at + MAX_PERMIT_WAIT {
                 self.refused += 1;
                 return;
             }
-            asked.refusals = 0;
-            self.members[asked.entry].waiting += 1;
-            return self.at(at, Event::Waited(asked));
+            request.refusals = 0;
+            self.members[request.entry].waiting += 1;
+            return self.at(at, Event::Waited(request));
         }
-        // An engine with a limit looks idle: it is picked as often as any other.
+        // A limited engine looks idle, so it is picked as often as any other.
         let engine = open[self.rng.gen_range(0..open.len())];
-        let t = target(engine, self.day.zones);
-        let by = self.coordinator(asked.entry, t, true);
-        let limits = &mut self.members[asked.entry].limits;
-        let step = match self.day.keeps {
-            true => limits.decide(t, by, asked.band, now),
+        let t = target(engine, self.scenario.zones);
+        let by = self.coordinator(request.entry, t, true);
+        let limits = &mut self.members[request.entry].limits;
+        let decision = match self.scenario.uses_permits {
+            true => limits.decide(t, by, request.band, now),
             false => PermitDecision::Unlimited,
         };
-        self.steps(asked, engine, step, 0);
+        self.apply_decision(request, engine, decision, 0);
     }
 
-    fn steps(&mut self, mut asked: Asked, engine: usize, step: PermitDecision, hops: u32) {
-        let i = asked.entry;
-        match step {
+    fn apply_decision(
+        &mut self,
+        mut request: CallerRequest,
+        engine: usize,
+        decision: PermitDecision,
+        hops: u32,
+    ) {
+        let i = request.entry;
+        match decision {
             PermitDecision::Unlimited | PermitDecision::Permitted => {
                 let life = self.members[i].life;
-                self.at(self.now + WAY, Event::Reaches(asked, engine, life));
+                self.at(
+                    self.now + TRANSIT_TIME,
+                    Event::Reaches(request, engine, life),
+                );
             }
             PermitDecision::Ask(peer) if hops < 2 => {
                 let now = self.time();
                 let peer = self.by_address[&peer];
-                let t = target(engine, self.day.zones);
+                let t = target(engine, self.scenario.zones);
                 let member = &mut self.members[i];
                 member.next += 1;
                 let number = member.next;
-                let ask = member
-                    .limits
-                    .permit_request(t, number, asked.band, member.waiting, now);
+                let ask =
+                    member
+                        .limits
+                        .permit_request(t, number, request.band, member.waiting, now);
                 let question = Question {
-                    asked,
+                    request,
                     engine,
                     peer,
                     hops: hops + 1,
@@ -452,8 +472,8 @@
                 self.at(self.now + ANSWER_TIME, Event::TimeOver(i, life, number));
             }
             PermitDecision::Wait(_) | PermitDecision::Ask(_) => {
-                asked.refusals += 1;
-                self.asks(asked);
+                request.refusals += 1;
+                self.asks(request);
             }
         }
     }
@@ -463,24 +483,24 @@
             return;
         }
         if let Some(question) = self.members[i].questions.remove(&number) {
-            let t = target(question.engine, self.day.zones);
+            let t = target(question.engine, self.scenario.zones);
             let (now, peer) = (self.time(), address(question.peer));
             let limits = &mut self.members[i].limits;
-            let step = limits.handle_response(t, peer, None, question.asked.band, now);
-            self.steps(question.asked, question.engine, step, question.hops);
+            let decision = limits.handle_response(t, peer, None, question.request.band, now);
+            self.apply_decision(question.request, question.engine, decision, question.hops);
         }
     }
 
-    fn reaches(&mut self, asked: Asked, engine: usize, life: u32) {
-        let member = &self.members[asked.entry];
+    fn reaches(&mut self, request: CallerRequest, engine: usize, life: u32) {
+        let member = &self.members[request.entry];
         let told = member.told.get(&engine);
-        let sent = self.now - WAY;
-        let knew = member.life == life && told.is_some_and(|at| at + SLACK <= sent);
+        let sent = self.now - TRANSIT_TIME;
+        let knew = member.life == life && told.is_some_and(|at| at + GRACE_TIME <= sent);
         self.arrivals[engine].push(Arrival { at: self.now, knew });
         self.served += 1;
-        self.to_free += u64::from(engine >= self.day.limited);
-        let back = self.now + RUNS + WAY;
-        self.at(back, Event::Answered(asked.entry, engine, sent, life));
+        self.served_by_unlimited += u64::from(engine >= self.scenario.limited_engines);
+        let back = self.now + RUN_TIME + TRANSIT_TIME;
+        self.at(back, Event::Answered(request.entry, engine, sent, life));
     }
 
     fn answered(&mut self, i: usize, engine: usize, sent: u64, life: u32) {
@@ -488,32 +508,35 @@
         if member.life != life || !member.is_up {
             return;
         }
-        let named = match engine < self.day.limited {
-            true => AnnouncedLimit::Rate(Rate(self.day.limit)),
+        let named = match engine < self.scenario.limited_engines {
+            true => AnnouncedLimit::Rate(Rate(self.scenario.limit)),
             false => AnnouncedLimit::None,
         };
-        let t = target(engine, self.day.zones);
+        let t = target(engine, self.scenario.zones);
         member
             .limits
             .record_answer(t, named, Millis(sent), Millis(self.now));
-        if engine < self.day.limited {
+        if engine < self.scenario.limited_engines {
             member.told.entry(engine).or_insert(self.now);
         }
     }
 
-    /// Something happens to an entry; coordinators are as likely as others.
-    fn trouble(&mut self, count: u64) {
-        self.at(self.now + self.day.every, Event::Trouble(count + 1));
-        let i = self.rng.gen_range(0..self.day.entries);
+    /// Disrupts a random entry; coordinators are as likely to be hit as others.
+    fn disruption(&mut self, count: u64) {
+        self.at(
+            self.now + self.scenario.interval_ms,
+            Event::Disruption(count + 1),
+        );
+        let i = self.rng.gen_range(0..self.scenario.entries);
         let kinds = [
-            Trouble::Rolls,
-            Trouble::Kills,
-            Trouble::Cuts,
-            Trouble::Freezes,
-            Trouble::Split,
+            Disruption::Rolls,
+            Disruption::Kills,
+            Disruption::Cuts,
+            Disruption::Freezes,
+            Disruption::Split,
         ];
-        let kind = match self.day.trouble {
-            Trouble::Mixed => kinds[count as usize % kinds.len()],
+        let kind = match self.scenario.disruption {
+            Disruption::Mixed => kinds[count as usize % kinds.len()],
             kind => kind,
         };
         let member = &mut self.members[i];
@@ -521,32 +544,32 @@
             return;
         }
         match kind {
-            Trouble::Rolls => {
+            Disruption::Rolls => {
                 member.is_leaving = true;
-                self.at(self.now + STOPS, Event::Ends(i));
+                self.at(self.now + STOP_TIME, Event::Ends(i));
             }
-            Trouble::Kills => self.at(self.now, Event::Ends(i)),
-            Trouble::Cuts => member.cut_until = self.now + 3_000,
-            Trouble::Freezes => member.frozen_until = self.now + 3_000,
-            Trouble::Split => self.split_until = self.now + 3_000,
-            Trouble::None | Trouble::Mixed => {}
+            Disruption::Kills => self.at(self.now, Event::Ends(i)),
+            Disruption::Cuts => member.cut_until = self.now + 3_000,
+            Disruption::Freezes => member.frozen_until = self.now + 3_000,
+            Disruption::Split => self.split_until = self.now + 3_000,
+            Disruption::None | Disruption::Mixed => {}
         }
     }
 }
 
-/// An entry; the first life knows all others, later ones only the seeds.
-fn member(i: usize, day: Day, life: u32, started: u64) -> Member {
-    let seeds: Vec<SocketAddr> = (0..SEEDS.min(day.entries))
+/// Creates an entry. Its first incarnation knows all other entries, later ones only the seeds.
+fn member(i: usize, scenario: Scenario, life: u32, started: u64) -> Member {
+    let seeds: Vec<SocketAddr> = (0..SEEDS.min(scenario.entries))
         .filter(|seed| *seed != i)
         .map(address)
         .collect();
     let mut book = PeerTable::new(address(i), &seeds, (life << 16) + i as u32);
-    book.set_zone(&format!("zone-{}", i % day.zones));
-    let others = (0..day.entries).filter(|peer| *peer != i && life == 0);
+    book.set_zone(&format!("zone-{}", i % scenario.zones));
+    let others = (0..scenario.entries).filter(|peer| *peer != i && life == 0);
     for peer in others {
         let hello = GossipMessage {
-            zone: ZoneId::of(&format!("zone-{}", peer % day.zones)),
-            zone_entries: (day.entries / day.zones) as u32,
+            zone: ZoneId::of(&format!("zone-{}", peer % scenario.zones)),
+            zone_entries: (scenario.entries / scenario.zones) as u32,
             ..common::hello(peer as u64, 0, None)
         };
         book.record_message(address(peer), &hello, Millis(0));
@@ -564,6 +587,6 @@
         waiting: 0,
         next: 0,
         told: HashMap::new(),
-        bytes: BTreeMap::new(),
+        bytes_sent: BTreeMap::new(),
     }
 }
--- a/tests/limited_fleet.rs
+++ b/tests/limited_fleet.rs
@@ -1,19 +1,20 @@
-//! Entries keep the limits of endpoints together, in simulated time: 3, 30, 100 and 450 of them, with even and uneven traffic,
-//! through stops, ends, cuts and freezes in series.
+//! Entries together keep the limits of endpoints, in simulated time: fleets of 3, 30, 100 and 450
+//! entries, with even and uneven traffic, through series of restarts, crashes, disconnects and
+//! stalls.
 
 mod common;
 mod limited;
 
-use limited::{Day, Fleet, Traffic, Trouble};
+use limited::{Disruption, Fleet, Scenario, Traffic};
 
-/// Least part of the limits that is used where work waits.
+/// Smallest fraction of the limits that must be used while requests wait.
 const USED_PART: f64 = 0.5;
-/// More work than endpoints with limits take: callers' requests a second for each that all take together.
+/// Requests offered to each limited endpoint, as a multiple of its limit.
 const PRESSURE: u64 = 2;
 
-/// A day of some entries before six engines with a limit, in thousandths of a request a second.
-fn day(entries: usize, limit: u32) -> Day {
-    Day {
+/// A scenario with six limited engines. `limit` is in thousandths of a request per second.
+fn scenario(entries: usize, limit: u32) -> Scenario {
+    Scenario {
         limit,
         rate: u64::from(limit) * 6 * PRESSURE / 1_000 + 20,
         seconds: match entries {
@@ -22,65 +23,72 @@
             _ => 9,
         },
         // With three entries as many are harmed at a time.
-        every: if entries == 3 { 5_000 } else { 1_500 },
-        ..Day::new(entries)
+        interval_ms: if entries == 3 { 5_000 } else { 1_500 },
+        ..Scenario::new(entries)
     }
 }
 
-fn play(day: Day) -> Fleet {
-    let mut fleet = Fleet::new(day);
-    fleet.play();
-    let (worst, allowed) = fleet.worst();
-    let (most, mean) = fleet.bytes();
+fn run_scenario(scenario: Scenario) -> Fleet {
+    let mut fleet = Fleet::new(scenario);
+    fleet.run();
+    let (max_arrivals, allowed) = fleet.max_arrivals();
+    let (most, mean) = fleet.bytes_sent();
     println!(
-        "{:>3} entries, {:?}, {:?}, limit {}: {worst} of {allowed} in 4 s, used {:.2}, refused {} of {}, bytes {most}, mean {mean}",
-        day.entries,
-        day.traffic,
-        day.trouble,
-        f64::from(day.limit) / 1_000.0,
-        fleet.used(),
+        "{:>3} entries, {:?}, {:?}, limit {}: {max_arrivals} of {allowed} in 4 s, used {:.2}, refused {} of {}, bytes {most}, mean {mean}",
+        scenario.entries,
+        scenario.traffic,
+        scenario.disruption,
+        f64::from(scenario.limit) / 1_000.0,
+        fleet.used_fraction(),
         fleet.refused,
         fleet.refused + fleet.served,
     );
     fleet
 }
 
-/// Plays a day on which the limits are kept and used.
-fn kept(day: Day) {
-    let fleet = play(day);
-    let (worst, allowed) = fleet.worst();
-    assert!(worst <= allowed, "{worst} of {allowed}");
-    assert!(fleet.used() >= USED_PART, "used {}", fleet.used());
+/// Runs a scenario in which the limits must be both kept and used.
+fn assert_kept_and_used(scenario: Scenario) {
+    let fleet = run_scenario(scenario);
+    let (max_arrivals, allowed) = fleet.max_arrivals();
+    assert!(max_arrivals <= allowed, "{max_arrivals} of {allowed}");
+    assert!(
+        fleet.used_fraction() >= USED_PART,
+        "used {}",
+        fleet.used_fraction()
+    );
 }
 
-/// A day with a trouble, on which the limits are kept.
-fn kept_through(entries: usize, trouble: Trouble, limit: u32) {
-    let fleet = play(Day {
-        trouble,
-        ..day(entries, limit)
+/// Runs a scenario with disruptions in which the limits must be kept.
+fn assert_kept(entries: usize, disruption: Disruption, limit: u32) {
+    let fleet = run_scenario(Scenario {
+        disruption,
+        ..scenario(entries, limit)
     });
-    let (worst, allowed) = fleet.worst();
-    assert!(worst <= allowed, "{worst} of {allowed}");
+    let (max_arrivals, allowed) = fleet.max_arrivals();
+    assert!(max_arrivals <= allowed, "{max_arrivals} of {allowed}");
 }
 
-/// Without permits the bound is broken at every size: they keep it.
+/// Without permits the bound is exceeded at every fleet size, so it is the permits that keep it.
 #[test]
-fn broken_without() {
+fn limits_exceeded_without_permits() {
     for entries in [3, 30, 100] {
-        let fleet = play(Day {
-            keeps: false,
+        let fleet = run_scenario(Scenario {
+            uses_permits: false,
             rate: 400,
-            ..day(entries, 2_000)
+            ..scenario(entries, 2_000)
         });
-        let (worst, allowed) = fleet.worst();
-        assert!(worst > allowed, "{entries}: {worst} of {allowed}");
+        let (max_arrivals, allowed) = fleet.max_arrivals();
+        assert!(
+            max_arrivals > allowed,
+            "{entries}: {max_arrivals} of {allowed}"
+        );
     }
 }
 
 #[test]
 fn even_traffic() {
     for (entries, limit) in [(3, 500), (3, 50_000), (30, 3_300), (100, 1_000)] {
-        kept(day(entries, limit));
+        assert_kept_and_used(scenario(entries, limit));
     }
 }
 
@@ -94,54 +102,55 @@
         (100, 1_000),
     ] {
         for traffic in [Traffic::One, Traffic::Moving] {
-            kept(Day {
+            assert_kept_and_used(Scenario {
                 traffic,
-                ..day(entries, limit)
+                ..scenario(entries, limit)
             });
         }
     }
 }
 
 #[test]
-fn troubled_days() {
+fn limits_kept_through_disruptions() {
     for (entries, limit) in [(3, 1_000), (3, 10_000), (30, 10_000)] {
-        for trouble in Trouble::ALL {
-            kept_through(entries, trouble, limit);
+        for disruption in Disruption::ALL {
+            assert_kept(entries, disruption, limit);
         }
     }
-    kept_through(100, Trouble::Mixed, 10_000);
+    assert_kept(100, Disruption::Mixed, 10_000);
 }
 
 #[test]
 fn largest_fleet() {
-    kept_through(450, Trouble::Mixed, 10_000);
+    assert_kept(450, Disruption::Mixed, 10_000);
 }
 
 /// No caller is refused while other engines of the pool have no limit.
 #[test]
-fn others_serve() {
+fn unlimited_engines_serve() {
     for entries in [3, 30] {
-        for trouble in [Trouble::None, Trouble::Cuts, Trouble::Split] {
-            let fleet = play(Day {
-                free: 3,
-                trouble,
-                ..day(entries, 1_000)
+        for disruption in [Disruption::None, Disruption::Cuts, Disruption::Split] {
+            let fleet = run_scenario(Scenario {
+                unlimited_engines: 3,
+                disruption,
+                ..scenario(entries, 1_000)
             });
             assert_eq!(fleet.refused, 0);
-            assert!(fleet.to_free > 0);
+            assert!(fleet.served_by_unlimited > 0);
         }
     }
 }
 
-/// All of many engines name limits at once, and what an entry spends on them keeps within a half of its 28 KB a second.
+/// When all of 60 engines announce limits at once, an entry spends at most half of its 28 KB per
+/// second on them.
 #[test]
 fn bytes_bound() {
-    let fleet = play(Day {
-        limited: 60,
+    let fleet = run_scenario(Scenario {
+        limited_engines: 60,
         rate: 1_000,
         seconds: 8,
-        ..day(30, 3_300)
+        ..scenario(30, 3_300)
     });
-    let (most, _) = fleet.bytes();
+    let (most, _) = fleet.bytes_sent();
     assert!(most <= 14 << 10, "{most}");
 }
