--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -109,7 +109,7 @@
     /// The endpoints and cordons on this page.
     pub listing: Listing,
     /// Entries that can't be parsed; they are ignored.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableEntry>,
     /// Key after which the next page starts; `None` for the last page.
     pub next: Option<String>,
     /// The store's revision when it answered.
@@ -118,7 +118,7 @@
 
 /// An entry of the store that can't be parsed; another program may have written it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableEntry {
     /// Its key.
     pub key: String,
     /// The error.
@@ -143,7 +143,7 @@
     Change(Change),
     /// An entry that can't be parsed. Where its key is that of an endpoint, that endpoint is no
     /// longer listed, which is the change.
-    Unreadable(Unreadable, Option<Change>),
+    UnreadableEntry(UnreadableEntry, Option<Change>),
 }
 
 /// Which documents a watch covers.
--- a/src/direct/entry/catalog_and_list.rs
+++ b/src/direct/entry/catalog_and_list.rs
@@ -9,7 +9,7 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::changes::ChangeBatch;
 use crate::direct::decision::Decision;
-use crate::direct::dialect::{ParsedRequest, Unreadable};
+use crate::direct::dialect::{ParsedRequest, UnreadableEntry};
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
@@ -262,7 +262,7 @@
     }
 
     /// Counts a store entry that cannot be read, and logs it the first time.
-    pub fn report_unreadable(&self, found: Unreadable) {
+    pub fn report_unreadable(&self, found: UnreadableEntry) {
         self.metrics.unreadable();
         let mut known = self.unreadable.borrow_mut();
         if known.len() < MAX_UNREADABLE_KEYS && known.insert(found.key.clone()) {
--- a/src/direct/sync/watch.rs
+++ b/src/direct/sync/watch.rs
@@ -157,7 +157,7 @@
         match written {
             StoreUpdate::Catalog(catalog) => entry.apply_catalog(catalog, "store"),
             StoreUpdate::Change(change) => changes.push(change),
-            StoreUpdate::Unreadable(found, change) => {
+            StoreUpdate::UnreadableEntry(found, change) => {
                 entry.report_unreadable(found);
                 changes.extend(change);
             }
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -7,7 +7,7 @@
 use base64::Engine;
 use common::{entry, listed};
 use serde_json::{json, Value};
-use violetline::direct::dialect::{Dialect, StoreUpdate, Unreadable, WatchResult};
+use violetline::direct::dialect::{Dialect, StoreUpdate, UnreadableEntry, WatchResult};
 use violetline::direct::directory::Change;
 use violetline::platform::Platform;
 
@@ -120,7 +120,9 @@
         id: "a".into(),
         revision: 8,
     };
-    assert!(matches!(&changes[0], StoreUpdate::Unreadable(_, Some(change)) if *change == removed));
+    assert!(
+        matches!(&changes[0], StoreUpdate::UnreadableEntry(_, Some(change)) if *change == removed)
+    );
 }
 
 #[test]
@@ -129,7 +131,7 @@
     entry.apply_listing(vec![listed("a", 1)], 1);
     for n in 0..3_000 {
         for _ in 0..2 {
-            entry.report_unreadable(Unreadable {
+            entry.report_unreadable(UnreadableEntry {
                 key: format!("servers/{n}"),
                 why: "unknown state".into(),
             });
