--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -14,8 +14,8 @@
 use violetline::limit::Limiter;
 use violetline::members::{Instance, LifeState, Members, Role};
 use violetline::overlay;
-use violetline::route::{Place, Router, Routing};
-use violetline::schedule::{Ask, ClassSpec, Order, Scheduler, Shape, TicketKey};
+use violetline::route::{Locality, Router, Routing};
+use violetline::schedule::{ClassSpec, Order, Scheduler, SchedulerParams, SlotRequest, TicketKey};
 use violetline::seal::{self, Trust};
 use violetline::settings::NodeSettings;
 use violetline::wire::Load;
@@ -24,14 +24,14 @@
     divan::main();
 }
 
-fn shape(queue: u32) -> Shape {
+fn shape(queue: u32) -> SchedulerParams {
     let class = |name: &str, priority, floor_percent| ClassSpec {
         name: name.into(),
         priority,
         floor_percent,
         preemptible: priority > 1,
     };
-    Shape {
+    SchedulerParams {
         slots: 8,
         reserved: 1,
         grant: Millis(1_000_000_000),
@@ -47,8 +47,8 @@
     }
 }
 
-fn ask(n: u64) -> Ask {
-    Ask {
+fn ask(n: u64) -> SlotRequest {
+    SlotRequest {
         request: RequestId(u128::from(n)),
         class: ClassKey((n % 5) as usize),
         team: format!("team-{}", n % 50),
@@ -118,7 +118,7 @@
 fn route_by_endpoints(bencher: Bencher<'_, '_>, count: usize) {
     let instances = instances(count);
     let candidates: Vec<&Instance> = instances.iter().collect();
-    let place = Place {
+    let place = Locality {
         zone: "zone-1".into(),
         region: "region-1".into(),
     };
@@ -130,7 +130,7 @@
         service_ms: 900,
     };
     for instance in &instances {
-        router.heard(Millis(1), &instance.id, load);
+        router.record_load(Millis(1), &instance.id, load);
     }
     bencher.bench_local(|| {
         let chosen = router
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::offer::{self, InFlight, Reply, Reserved};
 use crate::outcome::{NotRunReason, Outcome, UnknownReason};
 use crate::rerun;
-use crate::search::{self, Found, Search, MAX_DISAGREEMENTS, NO_ENDPOINT};
+use crate::search::{self, Search, SearchResult, MAX_DISAGREEMENTS, NO_ENDPOINT_RETRY_AFTER};
 use crate::suspicion;
 use crate::wire::{Answer, FromSidecar, Offer, Start, ToSidecar};
 
@@ -105,21 +105,21 @@
     let until = clock.now() + max_wait + GRACE;
     let mut search = Search::new(entry, job);
     let outcome = match clock.timeout_at(until, search.run(tried)).await {
-        Some(Found::Reserved(reserved)) => return Ok(reserved),
-        Some(Found::Replay(answer)) => return Err(Box::new(Placed::Replay(answer))),
-        Some(Found::Ended(outcome)) => outcome,
-        None => Outcome::not_run(NotRunReason::DeadlinePassed, NO_ENDPOINT),
+        Some(SearchResult::Reserved(reserved)) => return Ok(reserved),
+        Some(SearchResult::Replay(answer)) => return Err(Box::new(Placed::Replay(answer))),
+        Some(SearchResult::Ended(outcome)) => outcome,
+        None => Outcome::not_run(NotRunReason::DeadlinePassed, NO_ENDPOINT_RETRY_AFTER),
     };
-    let spoken = search.home_spoke;
+    let spoken = search.home_ruled_out_run;
     Err(Box::new(Placed::Ended(honest_for_key(
         job, outcome, spoken,
     ))))
 }
 
 /// A refusal without the home's word says nothing about earlier attempts under the key.
-fn honest_for_key(job: &Job, outcome: Outcome, home_spoke: bool) -> Outcome {
+fn honest_for_key(job: &Job, outcome: Outcome, home_ruled_out_run: bool) -> Outcome {
     match outcome {
-        Outcome::NotRun { .. } if is_keyed(job) && !home_spoke => {
+        Outcome::NotRun { .. } if is_keyed(job) && !home_ruled_out_run => {
             Outcome::Unknown(UnknownReason::HomeUnreachable)
         }
         other => other,
@@ -149,7 +149,7 @@
         message = suspicion::next_message(entry, &mut reader) => message,
         () = sleep(START_REPLY), if !job.once => {
             let now = entry.node.clock.now();
-            entry.router.borrow_mut().failed(now, &instance.id);
+            entry.router.borrow_mut().record_failure(now, &instance.id);
             return Err(Outcome::Unknown(UnknownReason::Silent));
         }
     };
@@ -207,7 +207,7 @@
                 return refusal;
             }
             Reply::Ended(Outcome::NotRun { reason, .. }) if reason.disagrees() => {
-                if !search.agree(&asked).await {
+                if !search.sync_documents(&asked).await {
                     return unreachable;
                 }
             }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -32,8 +32,8 @@
 use crate::node::{self, Life, Node};
 use crate::outcome::{NotRunReason, Outcome, UnknownReason};
 use crate::quota::{Claim, QuotaBook, Shares};
-use crate::route::{Place, Router};
-use crate::schedule::spread;
+use crate::route::{Locality, Router};
+use crate::schedule::spread_retry_after;
 use crate::settings::EntrySettings;
 use crate::supervisor::Supervisor;
 use crate::suspicion;
@@ -92,7 +92,7 @@
 impl Entry {
     /// An entry that knows no endpoint yet.
     pub fn new(node: Rc<Node>, settings: &EntrySettings) -> Rc<Self> {
-        let place = Place {
+        let place = Locality {
             zone: settings.node.zone.clone(),
             region: settings.node.region.clone(),
         };
@@ -186,7 +186,7 @@
                 self.node.metrics.over_limit(&team.name);
                 Err(Outcome::not_run(
                     NotRunReason::OverLimit,
-                    spread(after, job.request),
+                    spread_retry_after(after, job.request),
                 ))
             }
         }
@@ -323,7 +323,7 @@
     }
     answer::refusal(
         request,
-        &Outcome::not_run(reason, spread(ELSEWHERE, request)),
+        &Outcome::not_run(reason, spread_retry_after(ELSEWHERE, request)),
     )
 }
 
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -136,7 +136,7 @@
         self.entry.node.metrics.resumed();
         let lost = self.running.instance.id.clone();
         let now = self.entry.node.clock.now();
-        self.entry.router.borrow_mut().failed(now, &lost);
+        self.entry.router.borrow_mut().record_failure(now, &lost);
         self.job.avoid.push(lost);
         let until = now + rerun::MAX_WAIT;
         loop {
--- a/src/offer.rs
+++ b/src/offer.rs
@@ -38,7 +38,7 @@
 
 impl InFlight {
     fn new(entry: &Rc<Entry>, id: &str) -> Self {
-        entry.router.borrow_mut().began(id);
+        entry.router.borrow_mut().record_start(id);
         Self {
             entry: Rc::clone(entry),
             id: id.into(),
@@ -48,7 +48,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.entry.router.borrow_mut().ended(&self.id);
+        self.entry.router.borrow_mut().record_end(&self.id);
     }
 }
 
@@ -113,7 +113,7 @@
         opened = &mut opening => opened,
         () = sleep(HEDGE) => {
             let now = entry.node.clock.now();
-            entry.router.borrow_mut().failed(now, &instance.id);
+            entry.router.borrow_mut().record_failure(now, &instance.id);
             let _ = notices.send(Notice::Silent);
             opening.await
         }
@@ -123,11 +123,17 @@
         let now = entry.node.clock.now();
         match message {
             FromSidecar::Queued(load) => {
-                entry.router.borrow_mut().heard(now, &instance.id, load);
+                entry
+                    .router
+                    .borrow_mut()
+                    .record_load(now, &instance.id, load);
                 let _ = notices.send(Notice::Queued);
             }
             FromSidecar::Granted { grant, load, .. } => {
-                entry.router.borrow_mut().heard(now, &instance.id, load);
+                entry
+                    .router
+                    .borrow_mut()
+                    .record_load(now, &instance.id, load);
                 let instance = instance.clone();
                 let reserved = Reserved {
                     instance,
@@ -144,7 +150,10 @@
                 outcome,
                 load,
             } => {
-                entry.router.borrow_mut().heard(now, &instance.id, load);
+                entry
+                    .router
+                    .borrow_mut()
+                    .record_load(now, &instance.id, load);
                 return (ended == request).then_some(Reply::Ended(outcome));
             }
             FromSidecar::Notices(notices) => suspicion::apply_notices(&entry.node, &notices),
--- a/src/order.rs
+++ b/src/order.rs
@@ -35,7 +35,7 @@
 
 /// The parameters of one scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shape {
+pub struct SchedulerParams {
     /// Run slots of the endpoint.
     pub slots: u32,
     /// Slots for classes of priority 0 only.
@@ -52,7 +52,7 @@
 
 /// What a request asks of the scheduler.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct SlotRequest {
     /// The request, for the spread of retry hints.
     pub request: RequestId,
     /// Its class.
@@ -102,7 +102,7 @@
 
 /// The requests of one class at this moment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct ClassRow {
+pub struct ClassOccupancy {
     /// Class name.
     pub class: String,
     /// Waiting for a first grant.
@@ -115,7 +115,7 @@
 
 /// Counts kept since the start, for metrics and measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct SchedulerCounters {
     /// Grants given.
     pub granted: u64,
     /// Grants that were not used in time.
--- a/src/route.rs
+++ b/src/route.rs
@@ -20,7 +20,7 @@
 /// Cached prefix: part of the run time that a hit is assumed to save.
 const AFFINITY_GAIN: f64 = 0.2;
 /// Endpoints of one pool that an entry turns to first; bounds its links at any fleet size.
-pub const SUBSET: usize = 24;
+pub const SUBSET_SIZE: usize = 24;
 /// Age after which a load report counts half.
 const LOAD_HALF_LIFE_MS: f64 = 2_000.0;
 /// First time that an unreachable endpoint is left alone.
@@ -65,7 +65,7 @@
 
 /// Where this entry stands.
 #[derive(Debug, Clone, Default)]
-pub struct Place {
+pub struct Locality {
     /// Availability zone.
     pub zone: String,
     /// Region.
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct Router {
     routing: Routing,
-    place: Place,
+    place: Locality,
     views: HashMap<String, View>,
     turn: usize,
     rng: SmallRng,
@@ -85,7 +85,7 @@
 
 impl Router {
     /// A router that knows nothing yet.
-    pub fn new(routing: Routing, place: Place, seed: u64) -> Self {
+    pub fn new(routing: Routing, place: Locality, seed: u64) -> Self {
         Self {
             routing,
             place,
@@ -131,19 +131,19 @@
     }
 
     /// A request was offered to the endpoint.
-    pub fn began(&mut self, id: &str) {
+    pub fn record_start(&mut self, id: &str) {
         self.views.entry(id.into()).or_default().in_flight += 1;
     }
 
     /// A request at the endpoint ended.
-    pub fn ended(&mut self, id: &str) {
+    pub fn record_end(&mut self, id: &str) {
         if let Some(view) = self.views.get_mut(id) {
             view.in_flight = view.in_flight.saturating_sub(1);
         }
     }
 
     /// The sidecar told its load.
-    pub fn heard(&mut self, now: Millis, id: &str, load: Load) {
+    pub fn record_load(&mut self, now: Millis, id: &str, load: Load) {
         let view = self.views.entry(id.into()).or_default();
         view.load = load;
         view.seen = now;
@@ -152,7 +152,7 @@
     }
 
     /// The sidecar could not be reached or refused all work.
-    pub fn failed(&mut self, now: Millis, id: &str) {
+    pub fn record_failure(&mut self, now: Millis, id: &str) {
         let view = self.views.entry(id.into()).or_default();
         view.aside = Millis(view.aside.0 * 2).max(ASIDE_LEAST).min(ASIDE_MOST);
         view.aside_until = now + view.aside;
@@ -244,14 +244,14 @@
 
 /// The endpoints of a pool that an entry turns to first: a fixed random choice for each entry,
 /// from its own region as long as there are enough. Others are tried when these make it wait.
-pub fn subset<'a>(candidates: &[&'a Instance], place: &Place, entry: u64) -> Vec<&'a Instance> {
-    if candidates.len() <= SUBSET {
+pub fn subset<'a>(candidates: &[&'a Instance], place: &Locality, entry: u64) -> Vec<&'a Instance> {
+    if candidates.len() <= SUBSET_SIZE {
         return candidates.to_vec();
     }
     let rank = |i: &&Instance| (i.region != place.region, mix(entry ^ u64::from(i.ordinal)));
     let mut ranked = candidates.to_vec();
-    ranked.select_nth_unstable_by_key(SUBSET, rank);
-    ranked.truncate(SUBSET);
+    ranked.select_nth_unstable_by_key(SUBSET_SIZE, rank);
+    ranked.truncate(SUBSET_SIZE);
     ranked
 }
 
--- a/src/schedule.rs
+++ b/src/schedule.rs
@@ -14,7 +14,9 @@
 use crate::queue::{ClassQueue, Picked, Waiter};
 use crate::wire::Load;
 
-pub use crate::order::{Action, Ask, ClassRow, ClassSpec, Order, Shape, Tally};
+pub use crate::order::{
+    Action, ClassOccupancy, ClassSpec, Order, SchedulerCounters, SchedulerParams, SlotRequest,
+};
 
 new_key_type! {
     /// A ticket in the scheduler's arena.
@@ -39,7 +41,7 @@
 
 #[derive(Debug)]
 struct Ticket {
-    ask: Ask,
+    ask: SlotRequest,
     phase: Phase,
     preemptions: u32,
     ran: Millis,
@@ -50,7 +52,7 @@
 #[derive(Debug)]
 pub struct Scheduler {
     order: Order,
-    shape: Shape,
+    shape: SchedulerParams,
     tickets: SlotMap<TicketKey, Ticket>,
     /// Ends of waits and of grants, soonest first.
     expiries: BTreeSet<(Millis, TicketKey)>,
@@ -65,12 +67,12 @@
     arrivals: u64,
     service_ms: f64,
     counted_at: Millis,
-    tally: Tally,
+    counters: SchedulerCounters,
 }
 
 impl Scheduler {
     /// An idle scheduler.
-    pub fn new(order: Order, shape: Shape) -> Self {
+    pub fn new(order: Order, shape: SchedulerParams) -> Self {
         let classes = shape.classes.iter().cloned().map(ClassQueue::new).collect();
         let slots_open = shape.slots;
         Self {
@@ -88,12 +90,12 @@
             arrivals: 0,
             service_ms: 0.0,
             counted_at: Millis(0),
-            tally: Tally::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
     /// Takes over the parameters of a new bundle; waiting requests keep their places.
-    pub fn reshape(&mut self, now: Millis, shape: Shape) {
+    pub fn update_params(&mut self, now: Millis, shape: SchedulerParams) {
         self.count_time(now);
         let mut old = std::mem::take(&mut self.classes);
         let names: Vec<String> = old.iter().map(|class| class.spec.name.clone()).collect();
@@ -112,7 +114,7 @@
     }
 
     /// Leaves a ticket; the answer comes as an action.
-    pub fn offer(&mut self, now: Millis, ask: Ask) -> TicketKey {
+    pub fn offer(&mut self, now: Millis, ask: SlotRequest) -> TicketKey {
         self.count_time(now);
         let class = ask.class;
         let expires = now + ask.max_wait;
@@ -213,7 +215,7 @@
     }
 
     /// Sets how many slots the endpoint's health allows; 0 refuses all that waits.
-    pub fn open_slots(&mut self, now: Millis, slots: u32, retry_after: Millis) {
+    pub fn set_open_slots(&mut self, now: Millis, slots: u32, retry_after: Millis) {
         self.slots_open = slots.min(self.shape.slots);
         if slots == 0 {
             self.refuse_waiting(NotRunReason::EndpointFailing, retry_after);
@@ -256,8 +258,8 @@
     }
 
     /// Counts since the start.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counters(&self) -> SchedulerCounters {
+        self.counters
     }
 
     /// Run slots, whatever the endpoint's health.
@@ -266,8 +268,8 @@
     }
 
     /// Waiting, running and paused requests of each class.
-    pub fn by_class(&self) -> Vec<ClassRow> {
-        let row = |c: &ClassQueue| ClassRow {
+    pub fn by_class(&self) -> Vec<ClassOccupancy> {
+        let row = |c: &ClassQueue| ClassOccupancy {
             class: c.spec.name.clone(),
             waiting: c.waiting,
             running: c.running,
@@ -276,7 +278,7 @@
         self.classes.iter().map(row).collect()
     }
 
-    fn refusal(&self, ask: &Ask) -> Option<(NotRunReason, Millis)> {
+    fn refusal(&self, ask: &SlotRequest) -> Option<(NotRunReason, Millis)> {
         let estimate = self.estimate_wait(ask.class);
         if self.draining {
             return Some((NotRunReason::Draining, RETRY_LEAST));
@@ -322,7 +324,7 @@
             let Ticket { ask, phase, .. } = &self.tickets[ticket];
             let class = ask.class;
             let reason = if matches!(phase, Phase::Granted { .. }) {
-                self.tally.lapsed += 1;
+                self.counters.lapsed += 1;
                 self.release_slot(ticket, class);
                 NotRunReason::GrantLapsed
             } else {
@@ -408,7 +410,7 @@
             .map(|i| (*i, lacking(i)))
             .filter(|(_, l)| *l > 0.0);
         let found = below.max_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i);
-        self.tally.by_floor += u64::from(found.is_some());
+        self.counters.by_floor += u64::from(found.is_some());
         found
     }
 
@@ -421,7 +423,7 @@
                 held.phase = Phase::Granted { until };
                 self.expiries.remove(&(expires, ticket));
                 self.expiries.insert((until, ticket));
-                self.tally.granted += 1;
+                self.counters.granted += 1;
                 self.actions.push(Action::Grant { ticket, until });
             }
             _ => {
@@ -456,7 +458,7 @@
             held.phase = Phase::Pausing { since };
             held.preemptions += 1;
             self.pausing += 1;
-            self.tally.paused += 1;
+            self.counters.paused += 1;
             self.actions.push(Action::Pause { ticket });
         }
     }
@@ -487,8 +489,8 @@
         let Some(held) = self.tickets.remove(ticket) else {
             return;
         };
-        self.tally.refused += 1;
-        let retry_after = spread(after, held.ask.request);
+        self.counters.refused += 1;
+        let retry_after = spread_retry_after(after, held.ask.request);
         self.actions.push(Action::Refuse {
             ticket,
             reason,
@@ -566,7 +568,7 @@
 }
 
 /// Spreads retry hints over one to two times the estimate, so that callers don't come together.
-pub fn spread(after: Millis, request: RequestId) -> Millis {
+pub fn spread_retry_after(after: Millis, request: RequestId) -> Millis {
     let base = after.max(RETRY_LEAST).min(RETRY_MOST);
     let part = (request.0 % 1_000) as u64;
     Millis(base.0 + base.0 * part / 1_000)
--- a/src/search.rs
+++ b/src/search.rs
@@ -16,7 +16,7 @@
 use crate::members::Instance;
 use crate::offer::{self, Notice, Reply, Reserved};
 use crate::outcome::{NotRunReason, Outcome};
-use crate::schedule::spread;
+use crate::schedule::spread_retry_after;
 use crate::wire::{Answer, Offer};
 
 /// Time to wait for newer documents after a disagreement.
@@ -30,11 +30,11 @@
 /// Endpoints that a request of priority 0 is offered to, at most.
 const ATTEMPTS_URGENT: usize = 32;
 /// Advice to come back when no endpoint could be reached.
-pub const NO_ENDPOINT: Millis = Millis(1_000);
+pub const NO_ENDPOINT_RETRY_AFTER: Millis = Millis(1_000);
 
 /// How a search ended.
 #[derive(Debug)]
-pub enum Found {
+pub enum SearchResult {
     /// A slot is held.
     Reserved(Box<Reserved>),
     /// The answer of an earlier run under the same key.
@@ -51,7 +51,7 @@
     began: Millis,
     disagreements: u32,
     /// Whether the key's home has said that nothing ran under the key.
-    pub home_spoke: bool,
+    pub home_ruled_out_run: bool,
     refusal: Option<(NotRunReason, Millis)>,
 }
 
@@ -64,14 +64,14 @@
             job,
             began,
             disagreements: 0,
-            home_spoke: false,
+            home_ruled_out_run: false,
             refusal: None,
         }
     }
 
     /// Offers the request to one endpoint after another, in several queues at a time, until one
     /// holds a slot.
-    pub async fn run(&mut self, tried: &mut Vec<String>) -> Found {
+    pub async fn run(&mut self, tried: &mut Vec<String>) -> SearchResult {
         let urgent = self.job.policy.class_at(self.job.class).priority == 0;
         let most_queues = if urgent { QUEUES_URGENT } else { QUEUES };
         let mut queues = 1;
@@ -92,7 +92,7 @@
                 ));
             }
             if open.is_empty() {
-                return Found::Ended(self.refused());
+                return SearchResult::Ended(self.refused());
             }
             tokio::select! {
                 Some((instance, reply)) = open.next() => {
@@ -101,7 +101,7 @@
                     }
                 }
                 Some(notice) = noticed.recv() => {
-                    self.home_spoke |= notice == Notice::Queued;
+                    self.home_ruled_out_run |= notice == Notice::Queued;
                     queues = (queues + 1).min(most_queues);
                 }
             }
@@ -163,15 +163,18 @@
         instance: Instance,
         reply: Reply,
         tried: &mut Vec<String>,
-    ) -> Option<Found> {
+    ) -> Option<SearchResult> {
         let now = self.entry.node.clock.now();
         let outcome = match reply {
-            Reply::Reserved(reserved) => return Some(Found::Reserved(reserved)),
-            Reply::Replay(answer) => return Some(Found::Replay(answer)),
+            Reply::Reserved(reserved) => return Some(SearchResult::Reserved(reserved)),
+            Reply::Replay(answer) => return Some(SearchResult::Replay(answer)),
             Reply::Ended(outcome) => outcome,
             Reply::Silent => {
-                self.entry.router.borrow_mut().failed(now, &instance.id);
-                Outcome::not_run(NotRunReason::NoEndpoint, NO_ENDPOINT)
+                self.entry
+                    .router
+                    .borrow_mut()
+                    .record_failure(now, &instance.id);
+                Outcome::not_run(NotRunReason::NoEndpoint, NO_ENDPOINT_RETRY_AFTER)
             }
         };
         let Outcome::NotRun {
@@ -179,31 +182,34 @@
             retry_after,
         } = outcome
         else {
-            return Some(Found::Ended(outcome));
+            return Some(SearchResult::Ended(outcome));
         };
-        self.home_spoke |= reason.speaks_for_key();
+        self.home_ruled_out_run |= reason.speaks_for_key();
         if reason.disagrees() && self.disagreements < MAX_DISAGREEMENTS {
             self.disagreements += 1;
             tried.retain(|id| *id != instance.id);
-            if self.agree(&instance).await {
+            if self.sync_documents(&instance).await {
                 return None;
             }
-            let outcome = Outcome::not_run(NotRunReason::NotAllowed, NO_ENDPOINT);
-            return Some(Found::Ended(outcome));
+            let outcome = Outcome::not_run(NotRunReason::NotAllowed, NO_ENDPOINT_RETRY_AFTER);
+            return Some(SearchResult::Ended(outcome));
         }
         if matches!(
             reason,
             NotRunReason::Draining | NotRunReason::EndpointFailing
         ) {
-            self.entry.router.borrow_mut().failed(now, &instance.id);
+            self.entry
+                .router
+                .borrow_mut()
+                .record_failure(now, &instance.id);
         }
         self.keep_refusal(reason, retry_after);
-        (!reason.try_elsewhere() && !reason.disagrees()).then_some(Found::Ended(outcome))
+        (!reason.try_elsewhere() && !reason.disagrees()).then_some(SearchResult::Ended(outcome))
     }
 
     /// Waits for newer documents and decides under them from here on; false when they no longer
     /// allow the request.
-    pub async fn agree(&mut self, instance: &Instance) -> bool {
+    pub async fn sync_documents(&mut self, instance: &Instance) -> bool {
         let replica = &self.entry.node.replica;
         let mut changed = replica.subscribe();
         if replica.stamps() == self.job.stamps {
@@ -229,7 +235,7 @@
     }
 
     fn refused(&self) -> Outcome {
-        let spread_out = spread(NO_ENDPOINT, self.job.request);
+        let spread_out = spread_retry_after(NO_ENDPOINT_RETRY_AFTER, self.job.request);
         let (reason, after) = self
             .refusal
             .unwrap_or((NotRunReason::NoEndpoint, spread_out));
--- a/src/session.rs
+++ b/src/session.rs
@@ -13,7 +13,7 @@
 use crate::link::{Incoming, LinkError, Reader, Writer};
 use crate::outcome::{NotRunReason, Outcome, UnknownReason};
 use crate::run::{self, Ran};
-use crate::schedule::{Ask, TicketKey};
+use crate::schedule::{SlotRequest, TicketKey};
 use crate::sidecar::{Listing, Sidecar, Turn};
 use crate::suspicion;
 use crate::wire::{Answer, FromSidecar, Offer, Start, ToSidecar};
@@ -38,7 +38,7 @@
 /// A request that may wait for a slot.
 #[derive(Debug)]
 struct Admitted {
-    ask: Ask,
+    ask: SlotRequest,
     priority: u8,
     stall: Millis,
 }
@@ -180,7 +180,7 @@
     if !here || !is_home {
         return Err(Outcome::not_run(NotRunReason::NotHome, DISAGREED));
     }
-    let ask = Ask {
+    let ask = SlotRequest {
         request: offer.request,
         class,
         team: offer.team.clone(),
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -25,7 +25,7 @@
 use crate::node::{Life, Node};
 use crate::outcome::NotRunReason;
 use crate::replica::Stamps;
-use crate::schedule::{Action, Ask, ClassSpec, Scheduler, Shape, TicketKey};
+use crate::schedule::{Action, ClassSpec, Scheduler, SchedulerParams, SlotRequest, TicketKey};
 use crate::settings::SidecarSettings;
 use crate::suspicion::EndpointIncarnation;
 use crate::wire::Load;
@@ -143,7 +143,7 @@
     }
 
     /// Leaves a ticket and returns where its turns will come.
-    pub fn offer(&self, ask: Ask) -> Option<(TicketKey, UnboundedReceiver<Turn>)> {
+    pub fn offer(&self, ask: SlotRequest) -> Option<(TicketKey, UnboundedReceiver<Turn>)> {
         let now = self.node.clock.now();
         let ticket = self.scheduler.borrow_mut().as_mut()?.offer(now, ask);
         let (tx, rx) = unbounded_channel();
@@ -240,7 +240,7 @@
         self.with(|scheduler| {
             let slots = scheduler.slots();
             let (open, wait) = self.breaker.borrow_mut().allowance(now, slots);
-            scheduler.open_slots(now, open, wait);
+            scheduler.set_open_slots(now, open, wait);
             scheduler.tick(now);
         });
         self.dispatch();
@@ -290,11 +290,11 @@
         }
     }
 
-    fn apply_shape(&self, shape: Shape) {
+    fn apply_shape(&self, shape: SchedulerParams) {
         let now = self.node.clock.now();
         let mut scheduler = self.scheduler.borrow_mut();
         match scheduler.as_mut() {
-            Some(scheduler) => scheduler.reshape(now, shape),
+            Some(scheduler) => scheduler.update_params(now, shape),
             None => *scheduler = Some(Scheduler::new(self.settings.order, shape)),
         }
     }
@@ -304,7 +304,7 @@
         self.pool(&policy).map(|pool| pool.places)
     }
 
-    fn shape(&self, policy: &Policy) -> Option<Shape> {
+    fn shape(&self, policy: &Policy) -> Option<SchedulerParams> {
         let pool = self.pool(policy)?;
         let limits = &policy.bundle.limits;
         let classes = policy.bundle.classes.iter().map(|class| ClassSpec {
@@ -313,7 +313,7 @@
             floor_percent: class.floor_percent,
             preemptible: class.preemptible && pool.kind == PoolKind::Model,
         });
-        Some(Shape {
+        Some(SchedulerParams {
             slots: pool.slots,
             reserved: pool.reserved_slots,
             grant: Millis(limits.grant_ms),
@@ -369,7 +369,7 @@
             "health": format!("{:?}", self.breaker.borrow_mut().health(self.node.clock.now())),
             "load": self.load(),
             "classes": classes,
-            "tally": self.with(|scheduler| scheduler.tally()),
+            "tally": self.with(|scheduler| scheduler.counters()),
             "keys": self.keys.borrow().len(),
         })
     }
@@ -386,7 +386,9 @@
         {
             metrics.set("waiting", &row.class, row.waiting as u64);
         }
-        let tally = self.with(|scheduler| scheduler.tally()).unwrap_or_default();
+        let tally = self
+            .with(|scheduler| scheduler.counters())
+            .unwrap_or_default();
         metrics.set("granted", "", tally.granted);
         metrics.set("grants_lapsed", "", tally.lapsed);
         metrics.set("paused", "", tally.paused);
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -4,13 +4,13 @@
 
 use violetline::clock::Millis;
 use violetline::members::{Instance, LifeState, Role};
-use violetline::route::{subset, Place, Router, Routing, SUBSET};
+use violetline::route::{subset, Locality, Router, Routing, SUBSET_SIZE};
 use violetline::wire::Load;
 
 const NOW: Millis = Millis(1_000);
 
-fn place() -> Place {
-    Place {
+fn place() -> Locality {
+    Locality {
         zone: "zone-0".into(),
         region: "region-0".into(),
     }
@@ -54,7 +54,7 @@
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, place(), 1);
     for instance in &list {
-        router.heard(
+        router.record_load(
             NOW,
             &instance.id,
             load(if instance.id == "e3" { 30 } else { 2 }, 100),
@@ -74,7 +74,7 @@
     let mut router = Router::new(Routing::TwoChoices, place(), 1);
     for instance in &list {
         let service = if instance.id == "e3" { 1_000 } else { 100 };
-        router.heard(NOW, &instance.id, load(2, service));
+        router.record_load(NOW, &instance.id, load(2, service));
     }
     let found = counts(&mut router, &all, 0);
     assert!(
@@ -88,10 +88,10 @@
     let list = instances(3, 1);
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, place(), 1);
-    router.failed(NOW, "e1");
+    router.record_failure(NOW, "e1");
     assert!(!counts(&mut router, &all, 0).contains_key("e1"));
     for id in ["e0", "e2"] {
-        router.failed(NOW, id);
+        router.record_failure(NOW, id);
     }
     assert_eq!(
         counts(&mut router, &all, 0).len(),
@@ -108,7 +108,7 @@
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, place(), 1);
     for instance in &list {
-        router.heard(NOW, &instance.id, load(1, 1_000));
+        router.record_load(NOW, &instance.id, load(1, 1_000));
     }
     let found = counts(&mut router, &all, 77);
     let most = found.iter().max_by_key(|(_, n)| **n).unwrap().0.clone();
@@ -116,7 +116,7 @@
         found[&most] > 500,
         "one endpoint holds the prefix: {found:?}"
     );
-    router.heard(NOW, &most, load(30, 1_000));
+    router.record_load(NOW, &most, load(30, 1_000));
     let loaded = counts(&mut router, &all, 77);
     assert!(
         loaded.get(&most).copied().unwrap_or_default() < 100,
@@ -131,7 +131,7 @@
     let mut uses: HashMap<String, usize> = HashMap::new();
     for entry in 0..300 {
         let chosen = subset(&all, &place(), entry * 7_919);
-        assert_eq!(chosen.len(), SUBSET);
+        assert_eq!(chosen.len(), SUBSET_SIZE);
         assert!(
             chosen.iter().all(|i| i.region == "region-0"),
             "the own region has enough"
--- a/tests/schedule_invariants.rs
+++ b/tests/schedule_invariants.rs
@@ -6,7 +6,9 @@
 use arbtest::arbtest;
 use violetline::clock::Millis;
 use violetline::ids::{ClassKey, RequestId};
-use violetline::schedule::{Action, Ask, ClassSpec, Order, Scheduler, Shape, TicketKey};
+use violetline::schedule::{
+    Action, ClassSpec, Order, Scheduler, SchedulerParams, SlotRequest, TicketKey,
+};
 
 const SLOTS: u32 = 3;
 const MAX_PREEMPTIONS: u32 = 2;
@@ -37,8 +39,8 @@
     }
 }
 
-fn shape() -> Shape {
-    Shape {
+fn shape() -> SchedulerParams {
+    SchedulerParams {
         slots: SLOTS,
         reserved: 1,
         grant: Millis(100),
@@ -83,7 +85,7 @@
         let max_wait = Millis(u.int_in_range(0..=500)?);
         let request = RequestId(u.arbitrary()?);
         let class_key = ClassKey(class);
-        let ask = Ask {
+        let ask = SlotRequest {
             request,
             class: class_key,
             team,
@@ -244,7 +246,7 @@
         let now = Millis(ms);
         for (class, every) in [(0, 5), (2, 50)] {
             if ms % every == 0 {
-                let ask = Ask {
+                let ask = SlotRequest {
                     request: RequestId(u128::from(ms)),
                     class: ClassKey(class),
                     team: "a".into(),
@@ -299,7 +301,7 @@
 #[test]
 fn changed_classes() {
     let mut scheduler = Scheduler::new(Order::Floors, shape());
-    let ask = |class| Ask {
+    let ask = |class| SlotRequest {
         request: RequestId(1),
         class: ClassKey(class),
         team: "a".into(),
@@ -310,11 +312,11 @@
     };
     let running = scheduler.offer(Millis(0), ask(2));
     assert!(scheduler.start(Millis(1), running));
-    let without_batch = Shape {
+    let without_batch = SchedulerParams {
         classes: vec![class("lookup", 0, 0)],
         ..shape()
     };
-    let renamed = Shape {
+    let renamed = SchedulerParams {
         classes: vec![
             class("new", 0, 0),
             class("lookup", 1, 0),
@@ -322,8 +324,8 @@
         ],
         ..shape()
     };
-    scheduler.reshape(Millis(2), without_batch);
-    scheduler.reshape(Millis(3), renamed);
+    scheduler.update_params(Millis(2), without_batch);
+    scheduler.update_params(Millis(3), renamed);
     let later = scheduler.offer(Millis(4), ask(2));
     assert!(scheduler.start(Millis(5), later));
     assert_eq!(scheduler.load().running, 2);
--- a/tests/schedule_sessions.rs
+++ b/tests/schedule_sessions.rs
@@ -5,7 +5,9 @@
 
 use violetline::clock::Millis;
 use violetline::ids::{ClassKey, RequestId};
-use violetline::schedule::{Action, Ask, ClassSpec, Order, Scheduler, Shape, TicketKey};
+use violetline::schedule::{
+    Action, ClassSpec, Order, Scheduler, SchedulerParams, SlotRequest, TicketKey,
+};
 
 const DEFAULT_WAIT: u64 = 60_000;
 
@@ -42,7 +44,7 @@
 }
 
 fn open(head: &[Vec<&str>]) -> Session {
-    let mut shape = Shape {
+    let mut shape = SchedulerParams {
         slots: 1,
         reserved: 0,
         grant: Millis(1_000),
@@ -103,7 +105,7 @@
         let wait = event
             .get(5)
             .map_or(DEFAULT_WAIT, |wait| wait.parse().unwrap());
-        let ask = Ask {
+        let ask = SlotRequest {
             request: RequestId(500),
             class: ClassKey(class),
             team: event[4].into(),
