--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -279,7 +279,8 @@
 }
 
 /// Handles a gossip message: updates the peer, the proof, the work and the placements, and fetches
-/// a newer configuration or changes of the list. True if the peer is new or has restarted.
+/// a newer configuration or changes of the list. True if the peer is new, was silent for long, or
+/// has restarted.
 fn handle_message(entry: &Rc<Entry>, from: SocketAddr, message: &GossipMessage) -> bool {
     let now = entry.clock.now();
     let receipt = entry.peers.borrow_mut().record_message(from, message, now);
