--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -1,4 +1,5 @@
-//! Entries find and hear each other from a few seeds.
+//! Discovery of peers from a few seeds, choice of the entries that watch the store, and encoding of
+//! gossip messages.
 
 mod common;
 
@@ -17,75 +18,75 @@
     ([10, 0, 0, i], 7_000).into()
 }
 
-/// A network of books in which datagrams arrive at once, except to and from those that are down.
+/// Peer tables that exchange datagrams without delay, except to and from entries that are down.
 struct Network {
     books: BTreeMap<SocketAddr, PeerTable>,
     down: Vec<SocketAddr>,
-    /// Those that the store does not answer, so that their proof is old.
+    /// Entries whose requests the store does not answer, so that their proof grows old.
     cut_off: Vec<SocketAddr>,
     now: Millis,
 }
 
 impl Network {
     fn new(count: u8, seeds: &[SocketAddr]) -> Self {
-        let book = |i| (address(i), PeerTable::new(address(i), seeds, u32::from(i)));
+        let table = |i| (address(i), PeerTable::new(address(i), seeds, u32::from(i)));
         Self {
-            books: (1..=count).map(book).collect(),
+            books: (1..=count).map(table).collect(),
             down: Vec::new(),
             cut_off: Vec::new(),
             now: Millis(0),
         }
     }
 
-    fn rounds(&mut self, count: u32) -> usize {
+    fn run_rounds(&mut self, count: u32) -> usize {
         let mut sent = 0;
         for _ in 0..count {
             self.now = self.now + ROUND_INTERVAL;
             let mut up: Vec<SocketAddr> = self.books.keys().copied().collect();
             up.retain(|a| !self.down.contains(a));
             for from in up {
-                sent += self.tell(from);
+                sent += self.send_round(from);
             }
         }
         sent
     }
 
-    fn tell(&mut self, from: SocketAddr) -> usize {
+    fn send_round(&mut self, from: SocketAddr) -> usize {
         let now = self.now;
-        let Some(book) = self.books.get_mut(&from) else {
+        let Some(table) = self.books.get_mut(&from) else {
             return 0;
         };
-        let watches = book.should_watch(now);
-        let round: Vec<SocketAddr> = book.round(watches, now).iter().map(|t| t.to).collect();
+        let watches = table.should_watch(now);
+        let round: Vec<SocketAddr> = table.round(watches, now).iter().map(|t| t.to).collect();
         let mut messages = Vec::new();
         for peer in &round {
-            let mut message = hello(1, book.next_number(now), book.echo(*peer));
+            let mut message = hello(1, table.next_number(now), table.echo(*peer));
             message.from = PeerId(u64::from(from.port()));
             message.watches = watches;
-            message.link_mbps = book.link_mbps();
+            message.link_mbps = table.link_mbps();
             message.proof_age_ms = Some(if self.cut_off.contains(&from) {
                 1_500
             } else {
                 300
             });
-            message.peer_addresses = book.peer_addresses(*peer, now);
+            message.peer_addresses = table.peer_addresses(*peer, now);
             messages.push((*peer, message));
         }
         for (peer, message) in messages {
             if self.down.contains(&peer) {
                 continue;
             }
-            if let Some(book) = self.books.get_mut(&peer) {
-                book.record_message(from, &message, now);
+            if let Some(table) = self.books.get_mut(&peer) {
+                table.record_message(from, &message, now);
             }
         }
         round.len()
     }
 
-    /// Those that are up and watch the store.
+    /// Entries that are up and are to watch the store.
     fn watchers(&self) -> Vec<SocketAddr> {
         let up = self.books.iter().filter(|(a, _)| !self.down.contains(a));
-        let watch = up.filter(|(_, book)| book.should_watch(self.now));
+        let watch = up.filter(|(_, table)| table.should_watch(self.now));
         watch.map(|(address, _)| *address).collect()
     }
 
@@ -97,14 +98,14 @@
 #[test]
 fn found_from_seeds() {
     let mut network = Network::new(30, &[address(1), address(2), address(3)]);
-    network.rounds(40);
+    network.run_rounds(40);
     assert!((1..=30).all(|i| network.entries(i) == 30));
 }
 
 #[test]
 fn stale_seeds() {
     let mut network = Network::new(6, &[address(1), address(90), address(91)]);
-    network.rounds(20);
+    network.run_rounds(20);
     assert!((1..=6).all(|i| network.entries(i) == 6));
 }
 
@@ -112,87 +113,87 @@
 fn seed_is_down() {
     let mut network = Network::new(6, &[address(1), address(2)]);
     network.down.push(address(1));
-    network.rounds(20);
+    network.run_rounds(20);
     assert!((2..=6).all(|i| network.entries(i) == 5));
     network.down.clear();
-    network.rounds(20);
+    network.run_rounds(20);
     assert!((1..=6).all(|i| network.entries(i) == 6));
 }
 
 #[test]
 fn silent_peer() {
     let mut network = Network::new(4, &[address(1)]);
-    network.rounds(10);
+    network.run_rounds(10);
     network.down.push(address(3));
-    network.rounds(40);
+    network.run_rounds(40);
     assert!([1, 2, 4].iter().all(|i| network.entries(*i) == 3));
 }
 
-/// Two entries watch the store for all, and two others as soon as these are gone.
+/// Two entries watch the store for all; if both fail, two others take over.
 #[test]
 fn few_watch() {
     for count in [3, 30] {
         let mut network = Network::new(count, &[address(1), address(2)]);
         assert_eq!(network.watchers().len(), usize::from(count));
-        network.rounds(40);
+        network.run_rounds(40);
         let first = network.watchers();
         assert_eq!(first.len(), 2);
         network.down.clone_from(&first);
-        network.rounds(13);
+        network.run_rounds(13);
         assert!(!network.watchers().is_empty(), "within two seconds");
-        network.rounds(40);
+        network.run_rounds(40);
         assert_eq!(network.watchers().len(), 2.min(usize::from(count) - 2));
         network.down.clear();
-        network.rounds(40);
+        network.run_rounds(40);
         assert_eq!(network.watchers(), first);
     }
 }
 
-/// In a large fleet more entries watch, so that none passes changes on to too many.
+/// The number of watchers grows with the fleet, so that none forwards changes to too many entries.
 #[test]
 fn watchers_grow() {
     let mut network = Network::new(96, &[address(1), address(2)]);
-    network.rounds(120);
+    network.run_rounds(120);
     assert_eq!(network.watchers().len(), 6);
 }
 
-/// Watchers whose proof grows old are cut off from the store: others watch as well.
+/// Watchers whose proof grows old are taken to be cut off from the store, and others watch as well.
 #[test]
 fn cut_off_watchers() {
     let mut network = Network::new(6, &[address(1), address(2)]);
-    network.rounds(40);
+    network.run_rounds(40);
     network.cut_off = network.watchers();
-    network.rounds(3);
-    let sound = |a: &&SocketAddr| !network.cut_off.contains(a);
-    assert_eq!(network.watchers().iter().filter(sound).count(), 2);
+    network.run_rounds(3);
+    let is_connected = |a: &&SocketAddr| !network.cut_off.contains(a);
+    assert_eq!(network.watchers().iter().filter(is_connected).count(), 2);
 }
 
-/// The store's large answers are read where links are wide, and elsewhere only when none of those
-/// is left.
+/// Entries with fast links watch, since they read the store's large responses; others do only if
+/// none of those is left.
 #[test]
 fn wide_links_watch() {
     let mut network = Network::new(30, &[address(1), address(2)]);
     let wide: Vec<SocketAddr> = (1..=30).step_by(7).map(address).collect();
-    for (address, book) in &mut network.books {
-        book.set_link(if wide.contains(address) { 200.0 } else { 10.0 });
+    for (address, table) in &mut network.books {
+        table.set_link(if wide.contains(address) { 200.0 } else { 10.0 });
     }
-    network.rounds(40);
+    network.run_rounds(40);
     let first = network.watchers();
     assert_eq!(first.len(), 2);
     assert!(first.iter().all(|a| wide.contains(a)));
     network.down.clone_from(&first);
-    network.rounds(40);
+    network.run_rounds(40);
     let second = network.watchers();
     assert!(second.len() == 2 && second.iter().all(|a| wide.contains(a)));
     network.down.clone_from(&wide);
-    network.rounds(40);
+    network.run_rounds(40);
     assert_eq!(network.watchers().len(), 2);
 }
 
-/// A watcher whose proof waits for a large answer is not cut off.
+/// A watcher whose proof waits for a large response is not taken to be cut off.
 #[test]
 fn large_answer_excuses() {
-    let mut book = PeerTable::new(address(1), &[], 1);
+    let mut table = PeerTable::new(address(1), &[], 1);
     let message = |from: u64, reads_large| GossipMessage {
         watches: true,
         proof_age_ms: Some(2_000),
@@ -201,74 +202,76 @@
         ..hello(from, 1, None)
     };
     for from in [2, 3] {
-        book.record_message(address(from), &message(from.into(), true), Millis(100));
+        table.record_message(address(from), &message(from.into(), true), Millis(100));
     }
-    assert!(!book.should_watch(Millis(200)));
+    assert!(!table.should_watch(Millis(200)));
     for from in [4, 5] {
-        book.record_message(address(from - 2), &message(from.into(), false), Millis(300));
+        table.record_message(address(from - 2), &message(from.into(), false), Millis(300));
     }
-    assert!(book.should_watch(Millis(400)));
+    assert!(table.should_watch(Millis(400)));
 }
 
-/// An entry's traffic does not grow with the fleet.
+/// The number of datagrams that an entry sends in a round does not grow with the fleet.
 #[test]
 fn traffic_bounded() {
     let mut small = Network::new(5, &[address(1)]);
     let mut large = Network::new(60, &[address(1)]);
-    small.rounds(40);
-    large.rounds(40);
-    assert_eq!(small.rounds(10), 5 * 4 * 10);
-    assert_eq!(large.rounds(10), 60 * 7 * 10);
+    small.run_rounds(40);
+    large.run_rounds(40);
+    assert_eq!(small.run_rounds(10), 5 * 4 * 10);
+    assert_eq!(large.run_rounds(10), 60 * 7 * 10);
 }
 
 #[test]
-fn echo_dates_question() {
-    let mut book = PeerTable::new(address(1), &[address(2)], 7);
-    let number = book.next_number(Millis(500));
-    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(900));
+fn echo_dates_request() {
+    let mut table = PeerTable::new(address(1), &[address(2)], 7);
+    let number = table.next_number(Millis(500));
+    let heard = table.record_message(address(2), &hello(2, 1, Some(number)), Millis(900));
     assert_eq!(heard.echoed_sent_at, Some(Millis(500)));
     assert!(heard.is_new);
-    let heard = book.record_message(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
+    let heard = table.record_message(address(2), &hello(2, 2, Some(number + 5)), Millis(950));
     assert_eq!(heard.echoed_sent_at, None);
     assert!(!heard.is_new);
 }
 
-/// An echo of a number from an earlier life of this process dates nothing.
+/// An echo of a number from an earlier incarnation of this process dates nothing.
 #[test]
 fn earlier_life_echo() {
     let mut earlier = PeerTable::new(address(1), &[], 7);
     let number = earlier.next_number(Millis(500));
-    let mut book = PeerTable::new(address(1), &[], 8);
-    book.next_number(Millis(10));
-    let heard = book.record_message(address(2), &hello(2, 1, Some(number)), Millis(20));
+    let mut table = PeerTable::new(address(1), &[], 8);
+    table.next_number(Millis(10));
+    let heard = table.record_message(address(2), &hello(2, 1, Some(number)), Millis(20));
     assert_eq!(heard.echoed_sent_at, None);
 }
 
 #[test]
 fn restarted_peer() {
-    let mut book = PeerTable::new(address(1), &[], 1);
+    let mut table = PeerTable::new(address(1), &[], 1);
     assert!(
-        book.record_message(address(2), &hello(2, 9, None), Millis(10))
+        table
+            .record_message(address(2), &hello(2, 9, None), Millis(10))
             .is_new
     );
     assert!(
-        book.record_message(address(2), &hello(3, 1, None), Millis(20))
+        table
+            .record_message(address(2), &hello(3, 1, None), Millis(20))
             .is_new
     );
-    assert_eq!(book.echo(address(2)), Some(1));
+    assert_eq!(table.echo(address(2)), Some(1));
 }
 
-/// A datagram that was overtaken changes nothing.
+/// A datagram that was overtaken by a later one does not change the number to echo.
 #[test]
-fn overtaken_datagram() {
-    let mut book = PeerTable::new(address(1), &[], 1);
-    book.record_message(address(2), &hello(2, 9, None), Millis(10));
-    book.record_message(address(2), &hello(2, 8, None), Millis(20));
-    assert_eq!(book.echo(address(2)), Some(9));
+fn overtaken_datagram_ignored() {
+    let mut table = PeerTable::new(address(1), &[], 1);
+    table.record_message(address(2), &hello(2, 9, None), Millis(10));
+    table.record_message(address(2), &hello(2, 8, None), Millis(20));
+    assert_eq!(table.echo(address(2)), Some(9));
 }
 
 #[test]
-fn foreign_datagrams() {
+fn any_datagram_decoded() {
     arbtest::arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         if let Some(hello) = peers::decode(&bytes) {
@@ -278,8 +281,8 @@
     });
 }
 
-/// An entry with work at more endpoints than a datagram holds still tells its proof, its version and
-/// the most of its work.
+/// A message of an entry with work at more endpoints than a datagram holds still carries its proof,
+/// its number and the largest items of its work.
 #[test]
 fn too_much_work() {
     let mut sent = hello(2, 9, Some(4));
@@ -304,7 +307,8 @@
     assert!(heard.work.iter().all(|(_, work)| work.running > 40));
 }
 
-/// A busy entry's datagrams stay within what an instance may spend on control: 28 KB a second.
+/// A busy entry's datagrams stay within what an instance may spend on control traffic: 28 KB a
+/// second.
 #[test]
 fn datagram_size() {
     let mut sent = hello(u64::MAX, u64::MAX, Some(u64::MAX));
@@ -334,7 +338,7 @@
     assert!(per_s <= 28 << 10, "{length} bytes, {per_s} a second");
 }
 
-/// Work is rounded up to blocks, never down to nothing.
+/// Work is rounded up to whole blocks, never down to zero.
 #[test]
 fn work_in_blocks() {
     let mut sent = hello(1, 2, None);
@@ -354,19 +358,19 @@
     assert_eq!(heard.work[1], (u32::MAX, Work::default()));
 }
 
-/// An entry asks for a proof where the store is watched, in its own cell first.
+/// A proof is asked of a peer that watches the store.
 #[test]
 fn proof_source_watches() {
-    let mut book = PeerTable::new(address(1), &[], 1);
-    assert_eq!(book.proof_source(3), None);
+    let mut table = PeerTable::new(address(1), &[], 1);
+    assert_eq!(table.proof_source(3), None);
     let watching = |from| GossipMessage {
         watches: true,
         proof_age_ms: Some(300),
         ..hello(from, 1, None)
     };
-    book.record_message(address(2), &hello(2, 1, None), Millis(10));
-    book.record_message(address(3), &watching(3), Millis(10));
-    assert!((0..5).all(|draw| book.proof_source(draw) == Some(address(3))));
+    table.record_message(address(2), &hello(2, 1, None), Millis(10));
+    table.record_message(address(3), &watching(3), Millis(10));
+    assert!((0..5).all(|draw| table.proof_source(draw) == Some(address(3))));
 }
 
 #[test]
