--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -1,5 +1,5 @@
-//! What entries of fleets of any size know of each other, in simulated time without sockets: how old it
-//! is, and what telling it costs.
+//! Gossip in fleets of several sizes, in simulated time without sockets: how old the entries'
+//! knowledge of each other is, and how many bytes it costs.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,28 @@
     MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, ROUND_INTERVAL,
 };
 
-/// One entry: its peers, and when the newest word on each entry's work was true.
+/// One entry: its peer table, and for each entry of the fleet the time as of which its work is
+/// known.
 struct Entry {
     address: SocketAddr,
     zone: usize,
-    book: PeerTable,
+    table: PeerTable,
     known: Vec<Option<Millis>>,
     up: bool,
-    /// Bytes and datagrams of its last round.
+    /// Bytes and datagrams that it sent in its last round.
     sent: (usize, usize),
 }
 
-/// A fleet whose datagrams arrive at once, except on cut ways.
+/// A fleet whose datagrams arrive without delay, except between zones in `cut_zone_pairs`.
 struct Fleet {
     entries: Vec<Entry>,
     now: Millis,
-    /// Endpoints at which an entry has work.
-    busy_at: u32,
-    /// Lengths of datagrams by kind, once known.
+    /// Number of endpoints at which a busy entry has work.
+    busy_endpoints: u32,
+    /// Length of a datagram in bytes by scope; 0 until it has been measured.
     lengths: [usize; 3],
-    /// Ways between zones on which datagrams are lost.
-    cut: Vec<(usize, usize)>,
+    /// Pairs of zones between which datagrams are lost, by sender and receiver.
+    cut_zone_pairs: Vec<(usize, usize)>,
 }
 
 fn address(i: usize) -> SocketAddr {
@@ -50,12 +51,12 @@
     fn new(count: usize, zones: usize) -> Self {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let entry = |i: usize| {
-            let mut book = PeerTable::new(address(i), &seeds, (i * 7_919) as u32);
-            book.set_zone(&format!("zone-{}", i % zones));
+            let mut table = PeerTable::new(address(i), &seeds, (i * 7_919) as u32);
+            table.set_zone(&format!("zone-{}", i % zones));
             Entry {
                 address: address(i),
                 zone: i % zones,
-                book,
+                table,
                 known: vec![None; count],
                 up: true,
                 sent: (0, 0),
@@ -64,40 +65,45 @@
         Self {
             entries: (0..count).map(entry).collect(),
             now: Millis(0),
-            busy_at: 12,
+            busy_endpoints: 12,
             lengths: [0; 3],
-            cut: Vec::new(),
+            cut_zone_pairs: Vec::new(),
         }
     }
 
-    fn rounds(&mut self, count: usize) {
+    fn run_rounds(&mut self, count: usize) {
         for _ in 0..count {
             self.now = self.now + ROUND_INTERVAL;
             for from in 0..self.entries.len() {
                 if self.entries[from].up {
-                    self.tell(from);
+                    self.send_round(from);
                 }
             }
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_round(&mut self, from: usize) {
         let now = self.now;
         let entry = &mut self.entries[from];
         entry.known[from] = Some(now);
-        let round = entry.book.round(false, now);
+        let round = entry.table.round(false, now);
         entry.sent = (0, round.len());
-        for tell in round {
-            let bytes = self.bytes(from, tell.to, tell.work_scope);
-            let hello = bare(&mut self.entries[from], tell.to, tell.work_scope, now);
+        for send_round in round {
+            let bytes = self.bytes(from, send_round.to, send_round.work_scope);
+            let hello = idle_message(
+                &mut self.entries[from],
+                send_round.to,
+                send_round.work_scope,
+                now,
+            );
             let entry = &mut self.entries[from];
             entry.sent.0 += bytes;
-            entry.book.record_sent_bytes(tell.work_scope, bytes);
-            self.arrive(from, tell.to, &hello);
+            entry.table.record_sent_bytes(send_round.work_scope, bytes);
+            self.deliver(from, send_round.to, &hello);
         }
     }
 
-    /// Length of a datagram; all of one kind are about as long.
+    /// Length of a datagram; all of one scope are about as long.
     fn bytes(&mut self, from: usize, to: SocketAddr, work_scope: WorkScope) -> usize {
         let (kind, most) = match work_scope {
             WorkScope::Sender => (0, MAX_DATAGRAM_BYTES),
@@ -105,47 +111,48 @@
             WorkScope::Nothing => (2, MAX_DATAGRAM_BYTES),
         };
         if self.lengths[kind] == 0 {
-            let hello = busy(&mut self.entries[from], to, work_scope, self.busy_at);
+            let hello = busy_message(&mut self.entries[from], to, work_scope, self.busy_endpoints);
             self.lengths[kind] = encode_within(&hello, most).unwrap().len();
         }
         self.lengths[kind]
     }
 
-    fn arrive(&mut self, from: usize, to: SocketAddr, hello: &GossipMessage) {
+    fn deliver(&mut self, from: usize, to: SocketAddr, hello: &GossipMessage) {
         let now = self.now;
         let to = index(to);
         if !self.entries[to].up {
             return;
         }
-        let way = (self.entries[from].zone, self.entries[to].zone);
-        if self.cut.contains(&way) {
+        let zones = (self.entries[from].zone, self.entries[to].zone);
+        if self.cut_zone_pairs.contains(&zones) {
             return;
         }
-        let told: Vec<(usize, Option<Millis>)> = match hello.work_scope {
+        let reported: Vec<(usize, Option<Millis>)> = match hello.work_scope {
             WorkScope::Sender => vec![(from, Some(now))],
-            WorkScope::Zone => self.of_zone(from),
+            WorkScope::Zone => self.known_in_own_zone(from),
             WorkScope::Nothing => Vec::new(),
         };
         let receiver = &mut self.entries[to];
-        let heard = receiver.book.record_message(address(from), hello, now);
-        for (i, at) in told {
+        let heard = receiver.table.record_message(address(from), hello, now);
+        for (i, at) in reported {
             receiver.known[i] = receiver.known[i].max(at);
         }
         if heard.is_new {
-            let answer = bare(receiver, address(from), WorkScope::Nothing, now);
-            self.arrive(to, address(from), &answer);
+            let answer = idle_message(receiver, address(from), WorkScope::Nothing, now);
+            self.deliver(to, address(from), &answer);
         }
     }
 
-    /// What an entry knows of its own zone.
-    fn of_zone(&self, from: usize) -> Vec<(usize, Option<Millis>)> {
+    /// What an entry knows of the entries of its own zone.
+    fn known_in_own_zone(&self, from: usize) -> Vec<(usize, Option<Millis>)> {
         let zone = self.entries[from].zone;
         let all = self.entries[from].known.iter().enumerate();
         let own = all.filter(|(i, _)| self.entries[*i].zone == zone);
         own.map(|(i, at)| (i, *at)).collect()
     }
 
-    /// Ages of what entries that are up know of each other, in ms, sorted; of the own zone or of others.
+    /// Sorted ages in ms of what entries that are up know of each other, for pairs of the same zone
+    /// or of different zones.
     fn ages(&self, own_zone: bool) -> Vec<u64> {
         let up = || self.entries.iter().enumerate().filter(|(_, e)| e.up);
         let mut ages = Vec::new();
@@ -162,16 +169,21 @@
 
     fn counts(&self) -> Vec<usize> {
         let up = self.entries.iter().filter(|e| e.up);
-        up.map(|e| e.book.entries(self.now)).collect()
+        up.map(|e| e.table.entries(self.now)).collect()
     }
 }
 
-/// A datagram of an entry without work.
-fn bare(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, now: Millis) -> GossipMessage {
+/// A message of an entry without work.
+fn idle_message(
+    entry: &mut Entry,
+    to: SocketAddr,
+    work_scope: WorkScope,
+    now: Millis,
+) -> GossipMessage {
     GossipMessage {
         from: PeerId(u64::from(entry.address.port())),
-        number: entry.book.next_number(now),
-        echo: entry.book.echo(to),
+        number: entry.table.next_number(now),
+        echo: entry.table.echo(to),
         version: 4,
         proof_age_ms: Some(400),
         revision: 1_000,
@@ -181,18 +193,23 @@
         watches: false,
         reads_large: false,
         link_mbps: 20,
-        zone: entry.book.zone(),
-        zone_entries: entry.book.zone_entries(now),
+        zone: entry.table.zone(),
+        zone_entries: entry.table.zone_entries(now),
         wants_reply: false,
-        peer_addresses: entry.book.peer_addresses(to, now),
+        peer_addresses: entry.table.peer_addresses(to, now),
         work_scope,
         work: Vec::new(),
         placements: Vec::new(),
     }
 }
 
-/// A datagram of a busy entry: work at some endpoints, or at 100 of the zone, and placements.
-fn busy(entry: &mut Entry, to: SocketAddr, work_scope: WorkScope, busy_at: u32) -> GossipMessage {
+/// A message of a busy entry: work at some endpoints, or at 100 for a whole zone, and placements.
+fn busy_message(
+    entry: &mut Entry,
+    to: SocketAddr,
+    work_scope: WorkScope,
+    busy_endpoints: u32,
+) -> GossipMessage {
     let work = Work {
         running: 2,
         unread: [0, 2_000, 7_000],
@@ -201,7 +218,7 @@
         pressure: 30_000,
     };
     let (endpoints, prompts) = match work_scope {
-        WorkScope::Sender => (busy_at, 8),
+        WorkScope::Sender => (busy_endpoints, 8),
         WorkScope::Zone => (100, 24),
         WorkScope::Nothing => (0, 0),
     };
@@ -212,18 +229,19 @@
     GossipMessage {
         work: (0..endpoints).map(|i| (u32::MAX - i, work)).collect(),
         placements: vec![placed; prompts],
-        ..bare(entry, to, work_scope, Millis(0))
+        ..idle_message(entry, to, work_scope, Millis(0))
     }
 }
 
-fn part_of(sorted: &[u64], part: f64) -> u64 {
+fn percentile(sorted: &[u64], part: f64) -> u64 {
     sorted[((sorted.len() - 1) as f64 * part) as usize]
 }
 
-/// Half of what an entry knows of others is half a second old or less, with a hundred entries as with
-/// thirty, and it grows slower than the fleet.
+/// Limits on the age of what entries know of each other, in ms: by size of the fleet and number of
+/// zones, the 90th percentile within the own zone and for other zones. The age grows more slowly
+/// than the fleet.
 #[test]
-fn age_of_words() {
+fn knowledge_age() {
     for (count, zones, own, others) in [
         (3, 3, 150, 150),
         (30, 3, 450, 750),
@@ -231,17 +249,17 @@
         (200, 6, 1_350, 2_250),
     ] {
         let mut fleet = Fleet::new(count, zones);
-        fleet.rounds(70);
+        fleet.run_rounds(70);
         if zones < count {
             let ages = fleet.ages(true);
             assert!(
-                part_of(&ages, 0.9) <= own,
+                percentile(&ages, 0.9) <= own,
                 "{count}: {:?}",
-                part_of(&ages, 0.9)
+                percentile(&ages, 0.9)
             );
         }
         let ages = fleet.ages(false);
-        let (median, most) = (part_of(&ages, 0.5), part_of(&ages, 0.9));
+        let (median, most) = (percentile(&ages, 0.5), percentile(&ages, 0.9));
         assert!(
             median <= others / 2 + 150 && most <= others,
             "{count}: {median}, {most}"
@@ -249,12 +267,12 @@
     }
 }
 
-/// All count all, whatever the size of the fleet.
+/// Every entry counts all entries, whatever the size of the fleet.
 #[test]
 fn entries_counted() {
     for (count, zones) in [(3, 3), (30, 3), (103, 5), (50, 1)] {
         let mut fleet = Fleet::new(count, zones);
-        fleet.rounds(120);
+        fleet.run_rounds(120);
         assert!(
             fleet.counts().iter().all(|n| *n == count),
             "{count}: {:?}",
@@ -263,16 +281,16 @@
     }
 }
 
-/// What an entry sends in a round is bounded and does not grow with the fleet.
+/// The bytes that an entry sends in a round are bounded and do not grow with the fleet.
 #[test]
 fn bytes_bounded() {
     for (count, zones) in [(30, 3), (103, 5), (200, 6)] {
         let mut fleet = Fleet::new(count, zones);
-        fleet.busy_at = 40;
-        fleet.rounds(30);
+        fleet.busy_endpoints = 40;
+        fleet.run_rounds(30);
         let mut sums = vec![0; count];
         for _ in 0..20 {
-            fleet.rounds(1);
+            fleet.run_rounds(1);
             for (sum, entry) in sums.iter_mut().zip(&fleet.entries) {
                 *sum += entry.sent.0;
                 assert!(entry.sent.1 <= 9, "{} datagrams", entry.sent.1);
@@ -283,41 +301,43 @@
     }
 }
 
-/// A zone that is lost no longer counts, and what the others know of each other grows no older.
+/// A zone that is lost is no longer counted, and what the others know of each other does not become
+/// older.
 #[test]
 fn lost_zone() {
     let mut fleet = Fleet::new(103, 5);
-    fleet.rounds(100);
+    fleet.run_rounds(100);
     for entry in &mut fleet.entries {
         entry.up = entry.zone != 2;
     }
     let left = fleet.entries.iter().filter(|e| e.up).count();
-    fleet.rounds(160);
+    fleet.run_rounds(160);
     assert!(
         fleet.counts().iter().all(|n| *n == left),
         "{:?}",
         fleet.counts()
     );
-    assert!(part_of(&fleet.ages(false), 0.9) <= 1_350);
+    assert!(percentile(&fleet.ages(false), 0.9) <= 1_350);
     for entry in &mut fleet.entries {
         entry.up = true;
     }
-    fleet.rounds(100);
+    fleet.run_rounds(100);
     assert!(fleet.counts().iter().all(|n| *n == 103));
 }
 
-/// Where one zone's datagrams don't reach another, that one alone does without them.
+/// If the datagrams of one zone don't reach another, only the receiving zone misses the sending
+/// one.
 #[test]
 fn one_way_cut() {
     let mut fleet = Fleet::new(103, 5);
-    fleet.rounds(100);
-    fleet.cut = vec![(0, 1)];
-    fleet.rounds(100);
+    fleet.run_rounds(100);
+    fleet.cut_zone_pairs = vec![(0, 1)];
+    fleet.run_rounds(100);
     for entry in &fleet.entries {
         let hidden = entry.zone == 1;
         let expected = if hidden { 103 - 21 } else { 103 };
         assert_eq!(
-            entry.book.entries(fleet.now),
+            entry.table.entries(fleet.now),
             expected,
             "zone {}",
             entry.zone
@@ -325,15 +345,15 @@
     }
 }
 
-/// Where all are told in each round, all remembered placements are told; otherwise those of some turns,
-/// since peers pass them on.
+/// Where all entries are sent to in each round, all remembered placements are sent; otherwise those
+/// of some cycles, since peers forward them.
 #[test]
 fn placements_told() {
     for (count, zones) in [(3, 3), (8, 2), (30, 3)] {
         let mut fleet = Fleet::new(count, zones);
-        fleet.rounds(60);
+        fleet.run_rounds(60);
         let since = fleet.entries[0]
-            .book
+            .table
             .placements_since(WorkScope::Sender, fleet.now);
         if count <= 8 {
             assert_eq!(since, Millis(0), "{count}");
@@ -347,12 +367,13 @@
     }
 }
 
-/// An entry whose zone is not known is told like a neighbour, and hears all others one by one.
+/// An entry whose zone is not known is sent to like a neighbor, and hears from all others one by
+/// one.
 #[test]
 fn unknown_zone() {
     let mut fleet = Fleet::new(40, 4);
-    fleet.entries[0].book.set_zone("");
-    fleet.rounds(160);
+    fleet.entries[0].table.set_zone("");
+    fleet.run_rounds(160);
     let known = fleet.entries[0]
         .known
         .iter()
@@ -360,29 +381,29 @@
         .count();
     assert_eq!(known, 40);
     let (word, blind) = (
-        fleet.entries[0].book.neighbor_report_ttl(),
-        fleet.entries[0].book.blind(fleet.now),
+        fleet.entries[0].table.neighbor_report_ttl(),
+        fleet.entries[0].table.blind(fleet.now),
     );
     assert!(word >= Millis(1_500) && blind < word);
 }
 
-/// What peers told counts for longer than it takes to tell it anew, in a fleet of any size.
+/// A report counts for longer than it takes until it is sent again, in fleets of several sizes.
 #[test]
-fn words_outlast_turns() {
+fn reports_outlast_cycles() {
     for (count, zones) in [(3, 3), (30, 3), (103, 5), (50, 1)] {
         let mut fleet = Fleet::new(count, zones);
-        fleet.rounds(70);
+        fleet.run_rounds(70);
         let (near, far) = (fleet.ages(true), fleet.ages(false));
-        let book = &fleet.entries[count / 2].book;
+        let table = &fleet.entries[count / 2].table;
         if !near.is_empty() && zones < count {
             assert!(
-                part_of(&near, 0.9) < book.neighbor_report_ttl().0,
+                percentile(&near, 0.9) < table.neighbor_report_ttl().0,
                 "{count} in {zones}"
             );
         }
         if !far.is_empty() {
             assert!(
-                part_of(&far, 0.9) < book.zone_report_ttl(fleet.now).0,
+                percentile(&far, 0.9) < table.zone_report_ttl(fleet.now).0,
                 "{count} in {zones}"
             );
         }
