--- a/tests/direct_changes.rs
+++ b/tests/direct_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of endpoints, kept for entries that follow.
+//! The log of changes of the list of endpoints, kept for entries that do not watch the store.
 
 mod common;
 
@@ -19,7 +19,7 @@
     ListingSpan { after, up_to }
 }
 
-/// A log that was told the changes between each two of the revisions.
+/// A log to which the changes between each two of the revisions were appended.
 fn log(revisions: &[u64]) -> ChangeLog {
     let mut log = ChangeLog::default();
     for pair in revisions.windows(2) {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn newer_only() {
+fn only_newer_returned() {
     let log = log(&[3, 5, 9]);
     assert_eq!(since(&log, 3).unwrap(), [4, 5, 6, 7, 8, 9]);
     assert_eq!(since(&log, 5).unwrap(), [6, 7, 8, 9]);
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn gap_forgets() {
+fn gap_clears_log() {
     let mut log = log(&[3, 5]);
     append(&mut log, 7, 8);
     assert_eq!(since(&log, 3), None);
     assert_eq!(since(&log, 7).unwrap(), [8]);
 }
 
-/// A stretch of the history without changes of the list is no gap.
+/// A stretch of the history without changes of the list is not a gap.
 #[test]
 fn quiet_stretch() {
     let mut log = log(&[3, 5]);
@@ -72,7 +72,8 @@
     assert_eq!(since(&log, 6).unwrap(), [9]);
 }
 
-/// A listing does not tell which endpoints left within its span: whoever has got into it is told nothing.
+/// A listing does not show which endpoints left within its span, so an entry whose list is complete
+/// up to a revision within the span gets no changes.
 #[test]
 fn within_listing() {
     let mut log = ChangeLog::default();
@@ -86,7 +87,7 @@
     assert!(log.since(9).unwrap().spans.is_empty());
 }
 
-/// Spans of listings are forgotten from the oldest on, with the changes before their ends.
+/// Spans of listings are dropped from the oldest on, with the changes before their ends.
 #[test]
 fn many_listings() {
     let mut log = ChangeLog::default();
@@ -108,8 +109,9 @@
     assert_eq!(since(&log, 1_000).unwrap().len(), 2_000);
 }
 
-/// Requests would reach an endpoint that has left: cordons come behind the changes of endpoints, and listings in no order,
-/// so the change that is dropped last may be older than one that was dropped before it.
+/// Cordons are appended after the changes of endpoints, and listings in no order, so the change
+/// that is dropped last may be older than one dropped before it. If the log's start went back to
+/// it, a removal would be missing and requests would reach an endpoint that has left.
 #[test]
 fn dropped_in_disorder() {
     let mut log = ChangeLog::default();
@@ -119,7 +121,7 @@
     assert_eq!(log.after(), 9);
 }
 
-/// Whatever a peer sends is read without a panic, and what is read can be written.
+/// Decoding never panics, whatever a peer sends, and what is decoded can be encoded.
 #[test]
 fn any_bytes() {
     arbtest::arbtest(|u| {
