--- a/tests/direct_versions.rs
+++ b/tests/direct_versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration as entries pass them on: patches, and the whole.
+//! Versions of the configuration as entries forward them: as patches, or in full.
 
 mod common;
 
@@ -13,10 +13,10 @@
 use violetline::direct::patch::Patch;
 use violetline::direct::versions::{self, EncodedPatch, VersionLog, VersionUpdate};
 
-/// Routes of the large configurations.
-const MANY: usize = 10_000;
+/// Number of routes of the large configurations.
+const MANY_ROUTES: usize = 10_000;
 
-fn numbered(i: usize) -> Route {
+fn numbered_route(i: usize) -> Route {
     let name = format!("r-{i}");
     route(&name, &format!("/{name}/"))
 }
@@ -30,8 +30,8 @@
     }
 }
 
-fn large(version: u64, routes: usize, teams: usize) -> Catalog {
-    let routes = (0..routes).map(numbered).collect();
+fn numbered_catalog(version: u64, routes: usize, teams: usize) -> Catalog {
+    let routes = (0..routes).map(numbered_route).collect();
     let teams = (0..teams).map(team).collect();
     Catalog::new(version, routes, Vec::new(), teams, CallerLimits::default())
 }
@@ -40,7 +40,7 @@
     Box::new(Catalog::from(catalog.parts()))
 }
 
-/// The parts with their lists in the order of names.
+/// The parts of a catalog, with their lists sorted by name.
 fn sorted(catalog: &Catalog) -> CatalogParts {
     let mut parts = catalog.parts();
     parts.routes.sort_by(|a, b| a.name.cmp(&b.name));
@@ -49,8 +49,8 @@
     parts
 }
 
-/// Passes what `from` has on to `to`; the bytes that it took.
-fn pass_on(from: &Rc<Entry>, to: &Rc<Entry>) -> usize {
+/// Sends what `from` has to `to`; returns the bytes that it took.
+fn forward(from: &Rc<Entry>, to: &Rc<Entry>) -> usize {
     let update = from.catalog_since(to.version()).unwrap();
     let newer = versions::decode(&update).unwrap();
     assert!(to.apply_newer_catalog(newer, "a peer"));
@@ -61,12 +61,12 @@
 fn size_of_change() {
     let (_, first) = entry();
     let (_, second) = entry();
-    first.apply_catalog(boxed(&large(1, MANY, 24)), "store");
-    let whole = pass_on(&first, &second);
-    let mut changed = large(2, MANY, 24).parts();
+    first.apply_catalog(boxed(&numbered_catalog(1, MANY_ROUTES, 24)), "store");
+    let whole = forward(&first, &second);
+    let mut changed = numbered_catalog(2, MANY_ROUTES, 24).parts();
     changed.teams[3].keys = vec!["key-new".into()];
     first.apply_catalog(Box::new(Catalog::from(changed)), "store");
-    let patch = pass_on(&first, &second);
+    let patch = forward(&first, &second);
     assert!(patch < 512, "{patch} bytes for one key");
     assert!(whole > 50 * patch, "{whole} bytes for all");
     let catalog = second.catalog().unwrap();
@@ -75,15 +75,15 @@
 }
 
 #[test]
-fn passed_on_again() {
+fn forwarded_again() {
     let entries: Vec<Rc<Entry>> = (0..3).map(|_| entry().1).collect();
-    entries[0].apply_catalog(boxed(&large(1, 50, 2)), "store");
-    pass_on(&entries[0], &entries[1]);
-    pass_on(&entries[0], &entries[2]);
+    entries[0].apply_catalog(boxed(&numbered_catalog(1, 50, 2)), "store");
+    forward(&entries[0], &entries[1]);
+    forward(&entries[0], &entries[2]);
     for version in 2..6 {
-        let next = boxed(&large(version, 50 * version as usize, 2));
+        let next = boxed(&numbered_catalog(version, 50 * version as usize, 2));
         entries[0].apply_catalog(next, "store");
-        pass_on(&entries[0], &entries[1]);
+        forward(&entries[0], &entries[1]);
     }
     // Four patches at once, from an entry that has them from a peer itself.
     let update = entries[1].catalog_since(1).unwrap();
@@ -91,24 +91,24 @@
         panic!("patches");
     };
     assert_eq!(patches.len(), 4);
-    pass_on(&entries[1], &entries[2]);
+    forward(&entries[1], &entries[2]);
     let catalog = entries[2].catalog().unwrap();
     assert_eq!(catalog.version, 5);
     assert_eq!(catalog.parts(), entries[0].catalog().unwrap().parts());
 }
 
-/// An entry that has gone on meanwhile takes the rest of the patches, and nothing older.
+/// An entry that has advanced meanwhile applies the rest of the patches, and nothing older.
 #[test]
 fn overtaken() {
     let (_, first) = entry();
     let (_, second) = entry();
     for entry in [&first, &second] {
-        entry.apply_catalog(boxed(&large(1, 10, 1)), "store");
+        entry.apply_catalog(boxed(&numbered_catalog(1, 10, 1)), "store");
     }
-    first.apply_catalog(boxed(&large(2, 20, 1)), "store");
-    first.apply_catalog(boxed(&large(3, 30, 1)), "store");
+    first.apply_catalog(boxed(&numbered_catalog(2, 20, 1)), "store");
+    first.apply_catalog(boxed(&numbered_catalog(3, 30, 1)), "store");
     let late = first.catalog_since(1).unwrap();
-    second.apply_catalog(boxed(&large(2, 20, 1)), "store");
+    second.apply_catalog(boxed(&numbered_catalog(2, 20, 1)), "store");
     assert!(second.apply_newer_catalog(versions::decode(&late).unwrap(), "a peer"));
     assert_eq!(second.version(), 3);
     assert!(!second.apply_newer_catalog(versions::decode(&late).unwrap(), "a peer"));
@@ -116,10 +116,10 @@
 }
 
 #[test]
-fn gap_means_whole() {
+fn gap_sends_full_version() {
     let (_, first) = entry();
-    first.apply_catalog(boxed(&large(4, 10, 1)), "store");
-    first.apply_catalog(boxed(&large(6, 20, 1)), "store");
+    first.apply_catalog(boxed(&numbered_catalog(4, 10, 1)), "store");
+    first.apply_catalog(boxed(&numbered_catalog(6, 20, 1)), "store");
     for version in [0, 2, 5] {
         let update = first.catalog_since(version).unwrap();
         assert!(matches!(
@@ -130,8 +130,8 @@
 }
 
 #[test]
-fn ambiguous_means_whole() {
-    let old = large(1, 3, 1);
+fn ambiguous_names_have_no_patch() {
+    let old = numbered_catalog(1, 3, 1);
     let same_name = vec![route("a", "/a/"), route("a", "/b/")];
     let same_prefix = vec![route("a", "/a/"), route("b", "/a/")];
     for routes in [same_name, same_prefix] {
@@ -157,20 +157,20 @@
             payload: Bytes::from(vec![0; 200 << 10]),
         }]);
     }
-    let catalog = large(8, 1, 1);
+    let catalog = numbered_catalog(8, 1, 1);
     let body = |version| log.since(version, &catalog).unwrap().len();
     assert!(body(6) > 400 << 10, "the newest two are kept");
     assert!(body(5) < 1 << 10, "older ones are not");
 }
 
-/// A configuration that is drawn at random, with few names, so that versions share some.
-fn drawn(u: &mut Unstructured<'_>, version: u64) -> arbtest::arbitrary::Result<Catalog> {
+/// A random configuration with few names, so that versions share some.
+fn random_catalog(u: &mut Unstructured<'_>, version: u64) -> arbtest::arbitrary::Result<Catalog> {
     let mut routes = Vec::new();
     let mut pools = Vec::new();
     let mut teams = Vec::new();
     for i in 0..6 {
         if u.arbitrary()? {
-            let mut route = numbered(i);
+            let mut route = numbered_route(i);
             route.timeout = Millis(u.int_in_range(1..=3)?);
             routes.push(route);
         }
@@ -199,9 +199,9 @@
 #[test]
 fn any_versions() {
     arbtest::arbtest(|u| {
-        let first = drawn(u, 1)?;
-        let second = drawn(u, 2)?;
-        let third = drawn(u, 3)?;
+        let first = random_catalog(u, 1)?;
+        let second = random_catalog(u, 2)?;
+        let third = random_catalog(u, 3)?;
         let patches = [
             Patch::between(&first, &second).unwrap(),
             Patch::between(&second, &third).unwrap(),
@@ -222,7 +222,7 @@
     });
 }
 
-/// Whatever a peer sends is read without a panic.
+/// Decoding never panics, whatever a peer sends.
 #[test]
 fn any_bytes() {
     arbtest::arbtest(|u| {
