--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -1,4 +1,6 @@
-//! A watch that lost its answer is noticed: by the store's return, or by a peer that is ahead.
+//! Changes of the list of endpoints and of the configuration at an entry: a watch that lost its
+//! response is noticed by the store's return or by a peer that is ahead, and older answers undo
+//! nothing.
 
 mod common;
 
@@ -12,7 +14,7 @@
 use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::sync::{time_until_proof_due, CallError};
 
-fn asks_again(entry: &Entry) -> bool {
+fn is_rewatch_requested(entry: &Entry) -> bool {
     entry.rewatch_requested.notified().now_or_never().is_some()
 }
 
@@ -20,12 +22,12 @@
 fn store_returns() {
     let (_, entry) = entry();
     entry.store_answered();
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
     entry.store_failed(&CallError::Connection(ExchangeError::Lost));
     entry.store_answered();
-    assert!(asks_again(&entry));
+    assert!(is_rewatch_requested(&entry));
     entry.store_answered();
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
 }
 
 #[test]
@@ -35,13 +37,14 @@
     entry.note_peer_list_revision(11);
     clock.advance(Millis(649));
     entry.note_peer_list_revision(11);
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
     clock.advance(Millis(1));
     entry.note_peer_list_revision(11);
-    assert!(asks_again(&entry));
+    assert!(is_rewatch_requested(&entry));
 }
 
-/// A peer that is as far behind says nothing about the one that is ahead.
+/// A peer that is as far behind as this entry does not restart the time for which another one is
+/// ahead.
 #[test]
 fn others_behind_too() {
     let (clock, entry) = entry();
@@ -51,7 +54,7 @@
     entry.note_peer_list_revision(10);
     clock.advance(Millis(250));
     entry.note_peer_list_revision(11);
-    assert!(asks_again(&entry));
+    assert!(is_rewatch_requested(&entry));
 }
 
 #[test]
@@ -63,12 +66,13 @@
     entry.note_peer_list_revision(11);
     clock.advance(Millis(500));
     entry.note_peer_list_revision(12);
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
 }
 
-/// Peers' proofs spare questions to the store, but not while it is away: its return must be noticed.
+/// Peers' proofs save requests to the store, but not while it is unreachable: its return must be
+/// noticed.
 #[test]
-fn away_is_asked_on() {
+fn unreachable_store_polled() {
     let (_, entry) = entry();
     entry.store_answered();
     entry.set_watching(true);
@@ -84,7 +88,7 @@
     assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(0));
 }
 
-/// A question to the store proves the configuration, whatever is known of endpoints meanwhile.
+/// A request to the store proves the configuration, whatever is known of endpoints by then.
 #[test]
 fn proof_by_catalog() {
     let (clock, entry) = entry();
@@ -97,7 +101,8 @@
     assert_eq!(entry.applied(), 10);
 }
 
-/// An older entry that a slower answer brings does not bring back an endpoint that has left.
+/// An older item of the list, in a response that arrives late, does not bring back an endpoint that
+/// has left.
 #[test]
 fn older_changes_ignored() {
     let (_, entry) = entry();
@@ -114,8 +119,8 @@
     assert_eq!(entry.list_revision(), 7);
 }
 
-/// An endpoint that has left would come back for good, and get requests: a listing that was begun before it left is read to
-/// its end after a peer has told of that.
+/// A listing that began before an endpoint left is read to its end after a peer has reported the
+/// removal. If it brought the endpoint back, the endpoint would stay for good and get requests.
 #[test]
 fn older_listing() {
     let (_, entry) = entry();
@@ -133,10 +138,10 @@
     assert_eq!(entry.list_revision(), 7);
 }
 
-/// A whole listing is passed on as the changes that it makes, so that peers need not list after the store
-/// has dropped its history.
+/// A whole listing is forwarded as the changes that it makes, so that peers need not read a listing
+/// after the store has dropped its history.
 #[test]
-fn listing_passed_on() {
+fn listing_forwarded() {
     let (_, entry) = entry();
     let listed = |id: &str, revision| common::listed(id, revision);
     entry.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
@@ -161,8 +166,8 @@
     );
 }
 
-/// What an entry passes to another one that asks for the changes after a revision.
-fn pass(from: &Entry, to: &Entry) {
+/// Sends `to` the changes that `from` has after the list of `to`.
+fn forward(from: &Entry, to: &Entry) {
     let passed = from.changes_since(to.list_revision());
     let written = passed.as_ref().and_then(changes::encode);
     if let Some(passed) = written.as_deref().and_then(changes::decode) {
@@ -170,15 +175,16 @@
     }
 }
 
-/// Requests reached an endpoint up to 2.5 s after it had left: an entry that had just started listed everything without
-/// it, and its peers took their lists for complete up to there by what it passed on, which did not tell that it had left.
+/// Requests reached an endpoint up to 2.5 s after it had left. An entry that had just started read
+/// a listing without it, and its peers took their lists for complete up to that revision by the
+/// changes that it forwarded, which did not contain the removal.
 #[test]
 fn left_before_listing() {
     let (_, peer) = entry();
     peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let (_, fresh) = entry();
     fresh.apply_listing(vec![listed("i-2", 4)], 6);
-    pass(&fresh, &peer);
+    forward(&fresh, &peer);
     assert_eq!(peer.list_revision(), 5);
     let removed = Change::Removed {
         id: "i-1".into(),
@@ -188,24 +194,25 @@
     assert!(peer.directory().key("i-1").is_none());
 }
 
-/// The same by an entry that has the changes from the fresh one, and where the list got further meanwhile.
+/// The same through an entry that has the changes from the fresh one, and for a list that has
+/// advanced into the span of the listing meanwhile.
 #[test]
-fn left_second_hand() {
+fn left_before_forwarded_listing() {
     let (_, fresh) = entry();
     fresh.apply_listing(vec![listed("i-2", 4)], 6);
     let (_, empty) = entry();
-    pass(&fresh, &empty);
+    forward(&fresh, &empty);
     assert_eq!(empty.list_revision(), 6);
     let (_, peer) = entry();
     peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
-    pass(&empty, &peer);
+    forward(&empty, &peer);
     assert_eq!(peer.list_revision(), 5);
     peer.apply_peer_changes(fresh.changes_since(0).unwrap());
     assert_eq!(peer.list_revision(), 5);
-    assert!(asks_again(&peer));
+    assert!(is_rewatch_requested(&peer));
 }
 
-/// What a peer holds as a whole takes the place of an older list; a newer one stays.
+/// A peer's whole list replaces an older list; a newer one stays.
 #[test]
 fn whole_list() {
     let (_, fresh) = entry();
@@ -227,8 +234,8 @@
     assert!(peer.directory().key("i-4").is_some());
 }
 
-/// The whole configuration is read from the store by those that watch it, and by one that its peers
-/// don't bring up to date.
+/// The whole configuration is read from the store by the entries that watch, and by an entry that
+/// its peers don't bring up to date.
 #[test]
 fn can_get_catalog_from_peers() {
     let (clock, entry) = entry();
@@ -260,7 +267,7 @@
     );
 }
 
-/// What an entry with a wide link tells that watches the store.
+/// A message of an entry with a fast link that watches the store.
 fn watching_peer(id: u64) -> GossipMessage {
     GossipMessage {
         from: PeerId(id),
