--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,4 +1,5 @@
-//! Entries of the store by other writers: they name nothing, the others hold.
+//! Items of the store written by other programs: a malformed one names no endpoint, and the others
+//! remain readable.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use violetline::direct::directory::Change;
 use violetline::platform::Platform;
 
-fn good() -> Value {
+fn valid_endpoint() -> Value {
     json!({"service": "s1", "address": "10.128.0.9:8080", "zone": "hall-a", "version": "v1",
            "slots": 64, "state": "ready", "cold_left_ms": 12.5, "sequence": 4,
            "born": 1_765_000_000_000_u64})
@@ -22,16 +23,16 @@
            "create_rev": 1, "lease": 0})
 }
 
-/// Entries that name no endpoint: each field missing or of another type, unknown states, other bytes.
-fn broken() -> Vec<String> {
+/// Items that name no endpoint: each field missing or of another type, unknown states, other bytes.
+fn malformed_endpoints() -> Vec<String> {
     let mut all = Vec::new();
     let fields = ["service", "address", "zone", "version", "slots", "state"];
     for field in fields.into_iter().chain(["cold_left_ms", "sequence"]) {
-        let mut missing = good();
+        let mut missing = valid_endpoint();
         missing.as_object_mut().unwrap().remove(field);
         all.push(missing.to_string());
         for other in [json!(null), json!([1]), json!({"a": 1}), json!(true)] {
-            let mut changed = good();
+            let mut changed = valid_endpoint();
             changed[field] = other;
             all.push(changed.to_string());
         }
@@ -49,7 +50,7 @@
         ("born", json!(-3)),
     ];
     for (field, other) in changes {
-        let mut changed = good();
+        let mut changed = valid_endpoint();
         changed[field] = other;
         all.push(changed.to_string());
     }
@@ -66,12 +67,12 @@
 }
 
 #[test]
-fn names_nothing() {
-    for text in broken() {
+fn malformed_item_skipped() {
+    for text in malformed_endpoints() {
         let items = [
-            item("servers/a", &good().to_string(), 1),
+            item("servers/a", &valid_endpoint().to_string(), 1),
             item("servers/b", &text, 2),
-            item("servers/c", &good().to_string(), 3),
+            item("servers/c", &valid_endpoint().to_string(), 3),
         ];
         let page = page(&items);
         let ids: Vec<&str> = page.listing.endpoints.iter().map(|l| &*l.id).collect();
@@ -81,25 +82,25 @@
 }
 
 #[test]
-fn good_one_read() {
-    let page = page(&[item("servers/a", &good().to_string(), 1)]);
+fn valid_item_read() {
+    let page = page(&[item("servers/a", &valid_endpoint().to_string(), 1)]);
     assert_eq!(page.listing.endpoints[0].born, Some(1_765_000_000_000));
-    let mut without = good();
+    let mut without = valid_endpoint();
     without.as_object_mut().unwrap().remove("born");
     let page = self::page(&[item("servers/a", &without.to_string(), 1)]);
     assert_eq!(page.listing.endpoints[0].born, None);
 }
 
-/// Bytes that are not base64 are no endpoint either; keys of other kinds are passed over.
+/// Bytes that are not base64 name no endpoint either; keys of other kinds are skipped.
 #[test]
 fn other_bytes() {
-    let mut items = vec![item("servers/a", &good().to_string(), 1)];
+    let mut items = vec![item("servers/a", &valid_endpoint().to_string(), 1)];
     items.push(json!({"key": "servers/b", "value": "%%%", "revision": 2}));
     items.push(
-        json!({"key": "servers/", "value": STANDARD.encode(good().to_string()), "revision": 3}),
+        json!({"key": "servers/", "value": STANDARD.encode(valid_endpoint().to_string()), "revision": 3}),
     );
     items.push(json!({"key": "servers/c", "value": STANDARD.encode([0xff, 0xfe]), "revision": 4}));
-    items.push(item("elsewhere/d", &good().to_string(), 5));
+    items.push(item("elsewhere/d", &valid_endpoint().to_string(), 5));
     items.push(item("op/evacuate/hall-b", "not json", 6));
     let page = page(&items);
     assert_eq!(page.listing.endpoints.len(), 1);
@@ -107,9 +108,9 @@
     assert_eq!(page.listing.cordons[0].zone, "hall-b");
 }
 
-/// Where a broken entry takes the place of a good one, the endpoint is no longer named.
+/// If a malformed item replaces a good one, its endpoint is removed.
 #[test]
-fn takes_the_place() {
+fn malformed_item_removes_endpoint() {
     let event = item("servers/a", "{}", 8);
     let body = json!({"events": [event], "current_rev": 8}).to_string();
     let watched = Platform.parse_watch(StatusCode::OK, body.as_bytes());
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn counted_and_told() {
+fn counted_and_logged() {
     let (_, entry) = entry();
     entry.apply_listing(vec![listed("a", 1)], 1);
     for n in 0..3_000 {
@@ -143,8 +144,8 @@
     assert!(count.unwrap().ends_with(" 6000"), "{count:?}");
 }
 
-/// Whatever is written, reading it never ends the process, and names an endpoint only where every field is
-/// of its type.
+/// Whatever is written, reading it never panics, and an item names an endpoint only if every field
+/// has its type.
 #[test]
 fn any_entry() {
     arbtest::arbtest(|u| {
@@ -154,7 +155,7 @@
         let items = [
             item(&format!("servers/{key}"), &text, 1),
             json!({"key": "servers/x", "value": STANDARD.encode(bytes), "revision": 2}),
-            item("servers/good", &good().to_string(), 3),
+            item("servers/good", &valid_endpoint().to_string(), 3),
         ];
         let page = page(&items);
         let ids: Vec<&str> = page.listing.endpoints.iter().map(|l| &*l.id).collect();
