--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of entries in simulated time before engines that end, and their datagrams about requests under suspicion.
+//! A fleet of entries in simulated time, with engines that crash, and the entries' datagrams about
+//! suspect requests.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -14,46 +15,47 @@
 
 use crate::common;
 
-/// Longer than two turns of the largest fleet, in which what was learned is told.
-const LEARNED_LONG_AGO: Millis = Millis(10_000);
-/// Time of a datagram on its way.
-const WAY: u64 = 2;
-/// Time in which what is to be told at once is gathered.
-const GATHER: u64 = 5;
-/// Time after which an engine that ended is back.
-const BACK: u64 = 3_000;
-/// Time that an innocent request runs.
-const RUNS: u64 = 700;
-/// Time after which a request that ends engines does so.
-const CRASHES_AFTER: u64 = 80;
-/// Runs of an innocent request at most: callers repeat once, and some routes allow two attempts each.
-const MOST_RUNS: u32 = 4;
-/// Time after which a caller comes again when its request was lost.
-const COMES_AGAIN: u64 = 150;
+/// Longer than two cycles of the largest fleet, for which a notice is sent.
+const NOTICE_WINDOW: Millis = Millis(10_000);
+/// Time that a datagram takes, in ms.
+const TRANSIT_MS: u64 = 2;
+/// Time for which urgent notices are gathered, in ms.
+const GATHER_MS: u64 = 5;
+/// Time after which a crashed engine is back, in ms.
+const RESTART_MS: u64 = 3_000;
+/// Run time of an innocent request, in ms.
+const RUN_MS: u64 = 700;
+/// Time after which the crashing request ends its engine, in ms.
+const CRASH_AFTER_MS: u64 = 80;
+/// Maximum number of runs of an innocent request: callers retry once, and some routes allow two
+/// attempts each.
+const MAX_RUNS: u32 = 4;
+/// Time after which a caller retries a lost request, in ms.
+const RETRY_AFTER_MS: u64 = 150;
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A round of an entry.
+    /// A gossip round of an entry.
     Round(usize),
-    /// An entry tells what is to be told at once.
-    AtOnce(usize),
-    /// A datagram arrives, kept under a number.
+    /// An entry sends urgent notices.
+    UrgentNotices(usize),
+    /// A datagram arrives at an entry; the second number is its key in `datagrams`.
     Datagram(usize, usize),
-    /// A request comes to some entry.
-    Comes(usize),
-    /// A run ends, if its engine has not.
-    Finishes(usize),
-    /// An engine ends.
-    Ends(usize),
+    /// A request arrives at some entry.
+    RequestArrives(usize),
+    /// A run ends, unless its engine has crashed.
+    RunEnds(usize),
+    /// An engine crashes.
+    EngineCrashes(usize),
     /// An engine is back.
-    Back(usize),
-    /// The request that ends engines comes again.
-    Again,
+    EngineReturns(usize),
+    /// The crashing request arrives again.
+    CrashingRequestArrives,
 }
 
 #[derive(Debug)]
 pub struct Member {
-    book: PeerTable,
+    table: PeerTable,
     pub quarantine: Quarantine,
     bytes: Vec<u64>,
     is_telling: bool,
@@ -65,7 +67,7 @@
     request: usize,
     entry: usize,
     engine: usize,
-    life: u32,
+    incarnation: u32,
     began: Millis,
 }
 
@@ -75,46 +77,47 @@
     refused: bool,
 }
 
-/// What a day is made of.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     pub entries: usize,
     pub engines: usize,
     /// Innocent requests a second.
     pub rate: u64,
-    /// Time between two copies of the request that ends engines; 0 for none.
+    /// Time between two copies of the crashing request, in ms; 0 for none.
     pub again: u64,
-    /// Engines that end by themselves in each second.
+    /// Engines that crash for other reasons in each second.
     pub ends: usize,
-    /// Engines that end at once every four seconds.
+    /// Engines that crash together every four seconds.
     pub rack: usize,
     pub seconds: u64,
     pub seed: u64,
 }
 
 pub struct Fleet {
-    day: Scenario,
+    scenario: Scenario,
     pub members: Vec<Member>,
     by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<std::cmp::Reverse<(u64, Event)>>,
     datagrams: HashMap<usize, Vec<u8>>,
     sent: usize,
-    /// The engines' lives; odd while an engine is down.
-    lives: Vec<u32>,
+    /// Incarnation counters of the engines; odd while an engine is down.
+    incarnations: Vec<u32>,
     runs: HashMap<usize, Run>,
     next_run: usize,
     requests: Vec<Request>,
     rng: SmallRng,
     now: u64,
-    /// When the request that ends engines reached one, and when it ended one.
+    /// Times in ms at which the crashing request reached an engine; those at which it ended one are
+    /// in `ended`.
     reached: Vec<u64>,
     pub ended: Vec<u64>,
     pub refused: usize,
 }
 
-/// The request that ends engines; others are innocent.
+/// The request that crashes engines; all others are innocent.
 pub const CRASHING_REQUEST: usize = 0;
-/// Zones of the fleet.
+/// Number of availability zones of a large fleet.
 pub const ZONES: usize = 12;
 
 fn address(i: usize) -> SocketAddr {
@@ -131,32 +134,32 @@
 }
 
 impl Fleet {
-    pub fn new(day: Scenario) -> Self {
-        let zones = if day.entries > 30 { ZONES } else { 3 };
-        let members = (0..day.entries).map(|i| member(i, day, zones));
+    pub fn new(scenario: Scenario) -> Self {
+        let zones = if scenario.entries > 30 { ZONES } else { 3 };
+        let members = (0..scenario.entries).map(|i| member(i, scenario, zones));
         let mut fleet = Self {
-            day,
+            scenario,
             members: members.collect(),
-            by_address: (0..day.entries).map(|i| (address(i), i)).collect(),
+            by_address: (0..scenario.entries).map(|i| (address(i), i)).collect(),
             events: BinaryHeap::new(),
             datagrams: HashMap::new(),
             sent: 0,
-            lives: vec![0; day.engines],
+            incarnations: vec![0; scenario.engines],
             runs: HashMap::new(),
             next_run: 0,
             requests: vec![Request::default()],
-            rng: SmallRng::seed_from_u64(day.seed),
+            rng: SmallRng::seed_from_u64(scenario.seed),
             now: 0,
             reached: Vec::new(),
             ended: Vec::new(),
             refused: 0,
         };
-        for i in 0..day.entries {
+        for i in 0..scenario.entries {
             let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
-        if day.again > 0 {
-            fleet.at(1_000, Event::Again);
+        if scenario.again > 0 {
+            fleet.at(1_000, Event::CrashingRequestArrives);
         }
         fleet
     }
@@ -166,17 +169,17 @@
     }
 
     pub fn play(&mut self) {
-        let end = self.day.seconds * 1_000;
+        let end = self.scenario.seconds * 1_000;
         for ms in 0..end {
-            if ms * self.day.rate / 1_000 != (ms + 1) * self.day.rate / 1_000 {
+            if ms * self.scenario.rate / 1_000 != (ms + 1) * self.scenario.rate / 1_000 {
                 self.requests.push(Request::default());
-                self.at(ms, Event::Comes(self.requests.len() - 1));
+                self.at(ms, Event::RequestArrives(self.requests.len() - 1));
             }
             if ms % 1_000 == 500 {
-                self.some_end(ms, self.day.ends);
+                self.crash_engines(ms, self.scenario.ends);
             }
             if ms % 4_000 == 1_500 {
-                self.some_end(ms, self.day.rack);
+                self.crash_engines(ms, self.scenario.rack);
             }
         }
         while let Some(std::cmp::Reverse((time, event))) = self.events.pop() {
@@ -184,30 +187,33 @@
                 return;
             }
             self.now = time;
-            self.happens(event);
+            self.handle_event(event);
         }
     }
 
-    fn some_end(&mut self, ms: u64, count: usize) {
-        let first = self.rng.gen_range(0..self.day.engines);
+    fn crash_engines(&mut self, ms: u64, count: usize) {
+        let first = self.rng.gen_range(0..self.scenario.engines);
         for i in 0..count {
-            self.at(ms, Event::Ends((first + i) % self.day.engines));
+            self.at(
+                ms,
+                Event::EngineCrashes((first + i) % self.scenario.engines),
+            );
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Round(i) => self.round(i),
-            Event::AtOnce(i) => self.tell_at_once(i),
-            Event::Datagram(i, number) => self.hear(i, number),
-            Event::Comes(request) => self.comes(request),
-            Event::Finishes(run) => self.finishes(run),
-            Event::Ends(engine) => self.engine_ends(engine),
-            Event::Back(engine) => self.lives[engine] += 1,
-            Event::Again => {
-                self.comes(CRASHING_REQUEST);
-                let next = self.now + self.day.again;
-                self.at(next, Event::Again);
+            Event::UrgentNotices(i) => self.send_urgent_notices(i),
+            Event::Datagram(i, number) => self.receive(i, number),
+            Event::RequestArrives(request) => self.request_arrives(request),
+            Event::RunEnds(run) => self.run_ends(run),
+            Event::EngineCrashes(engine) => self.engine_crashes(engine),
+            Event::EngineReturns(engine) => self.incarnations[engine] += 1,
+            Event::CrashingRequestArrives => {
+                self.request_arrives(CRASHING_REQUEST);
+                let next = self.now + self.scenario.again;
+                self.at(next, Event::CrashingRequestArrives);
             }
         }
     }
@@ -220,26 +226,27 @@
         self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         let now = self.time();
         if !self.members[i].quarantine.evaluate_suspects(now).is_empty() {
-            self.wake(i);
+            self.schedule_urgent_notices(i);
         }
-        // Nothing that was learned before is told: a round of 450 entries is only worked out where there is something.
-        let from = now - LEARNED_LONG_AGO;
+        // A round is only computed where a notice is recent enough to be sent, since one of 450
+        // entries takes long.
+        let from = now - NOTICE_WINDOW;
         let recent = self.members[i].quarantine.recent();
         if recent.since(from, true, 1, now).is_empty() {
             return;
         }
-        let round = self.members[i].book.round(false, now);
+        let round = self.members[i].table.round(false, now);
         let repeats = self.rng.gen_ratio(48, 256);
-        for tell in round {
-            let since = self.members[i].book.notices_since(tell.work_scope, now);
-            self.send_notices(i, tell.to, since, repeats);
+        for target in round {
+            let since = self.members[i].table.notices_since(target.work_scope, now);
+            self.send_notices(i, target.to, since, repeats);
         }
     }
 
-    fn tell_at_once(&mut self, i: usize) {
+    fn send_urgent_notices(&mut self, i: usize) {
         self.members[i].is_telling = false;
-        let since = Millis(self.now - 2 * GATHER);
-        for to in self.members[i].book.immediate_targets() {
+        let since = Millis(self.now - 2 * GATHER_MS);
+        for to in self.members[i].table.immediate_targets() {
             self.send_notices(i, to, since, false);
         }
     }
@@ -263,29 +270,29 @@
         }
         self.sent += 1;
         self.datagrams.insert(self.sent, bytes);
-        self.at(self.now + WAY, Event::Datagram(to, self.sent));
+        self.at(self.now + TRANSIT_MS, Event::Datagram(to, self.sent));
     }
 
-    fn hear(&mut self, i: usize, number: usize) {
+    fn receive(&mut self, i: usize, number: usize) {
         let now = self.time();
         let bytes = self.datagrams.remove(&number).unwrap();
         for notice in peers::decode_notices(&bytes).unwrap() {
             let change = self.members[i].quarantine.apply_notice(&notice, now);
             if matches!(change, Change::Refused { .. }) {
-                self.wake(i);
+                self.schedule_urgent_notices(i);
             }
         }
     }
 
-    /// Has an entry tell its peers between two rounds.
-    fn wake(&mut self, i: usize) {
+    /// Has an entry send urgent notices between two rounds, unless it is about to.
+    fn schedule_urgent_notices(&mut self, i: usize) {
         if !std::mem::replace(&mut self.members[i].is_telling, true) {
-            self.at(self.now + GATHER, Event::AtOnce(i));
+            self.at(self.now + GATHER_MS, Event::UrgentNotices(i));
         }
     }
 
-    fn comes(&mut self, request: usize) {
-        let entry = self.rng.gen_range(0..self.day.entries);
+    fn request_arrives(&mut self, request: usize) {
+        let entry = self.rng.gen_range(0..self.scenario.entries);
         let fingerprint = Fingerprint(request as u64);
         let now = self.time();
         self.members[entry].quarantine.evaluate_suspects(now);
@@ -301,7 +308,7 @@
             }
             QuarantineStatus::MustWait { ends, .. } if ends >= 2 => {
                 if request != CRASHING_REQUEST {
-                    self.at(self.now + COMES_AGAIN, Event::Comes(request));
+                    self.at(self.now + RETRY_AFTER_MS, Event::RequestArrives(request));
                 }
                 return;
             }
@@ -309,11 +316,11 @@
                 self.members[entry]
                     .quarantine
                     .record_start(fingerprint, now, now);
-                self.wake(entry);
+                self.schedule_urgent_notices(entry);
             }
         }
-        let up: Vec<usize> = (0..self.day.engines)
-            .filter(|engine| self.lives[*engine] % 2 == 0)
+        let up: Vec<usize> = (0..self.scenario.engines)
+            .filter(|engine| self.incarnations[*engine] % 2 == 0)
             .collect();
         if up.is_empty() {
             return;
@@ -323,20 +330,20 @@
             request,
             entry,
             engine,
-            life: self.lives[engine],
+            incarnation: self.incarnations[engine],
             began: now,
         };
         self.next_run += 1;
         self.runs.insert(self.next_run, run);
         if request == CRASHING_REQUEST {
             self.reached.push(self.now);
-            self.at(self.now + CRASHES_AFTER, Event::Ends(engine));
+            self.at(self.now + CRASH_AFTER_MS, Event::EngineCrashes(engine));
         } else {
-            self.at(self.now + RUNS, Event::Finishes(self.next_run));
+            self.at(self.now + RUN_MS, Event::RunEnds(self.next_run));
         }
     }
 
-    fn finishes(&mut self, run: usize) {
+    fn run_ends(&mut self, run: usize) {
         let now = self.time();
         let Some(run) = self.runs.remove(&run) else {
             return;
@@ -344,22 +351,22 @@
         let fingerprint = Fingerprint(run.request as u64);
         let member = &mut self.members[run.entry];
         if member.quarantine.record_completion(fingerprint, now, now) == Change::Cleared {
-            self.wake(run.entry);
+            self.schedule_urgent_notices(run.entry);
         }
     }
 
-    fn engine_ends(&mut self, engine: usize) {
+    fn engine_crashes(&mut self, engine: usize) {
         let now = self.time();
-        let life = self.lives[engine];
-        if life % 2 == 1 {
+        let incarnation = self.incarnations[engine];
+        if incarnation % 2 == 1 {
             return;
         }
-        self.lives[engine] += 1;
-        self.at(self.now + BACK, Event::Back(engine));
+        self.incarnations[engine] += 1;
+        self.at(self.now + RESTART_MS, Event::EngineReturns(engine));
         let lost: Vec<usize> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.engine == engine && run.life == life)
+            .filter(|(_, run)| run.engine == engine && run.incarnation == incarnation)
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
@@ -368,12 +375,15 @@
                 self.ended.push(self.now);
             } else {
                 self.requests[run.request].lost += 1;
-                if self.requests[run.request].lost < MOST_RUNS {
-                    self.at(self.now + COMES_AGAIN, Event::Comes(run.request));
+                if self.requests[run.request].lost < MAX_RUNS {
+                    self.at(
+                        self.now + RETRY_AFTER_MS,
+                        Event::RequestArrives(run.request),
+                    );
                 }
             }
             let end = EndpointEnd {
-                endpoint: (engine as u32) << 16 | life,
+                endpoint: (engine as u32) << 16 | incarnation,
                 began: run.began,
                 ended: now,
             };
@@ -381,11 +391,12 @@
             self.members[run.entry]
                 .quarantine
                 .record_end(fingerprint, end, now);
-            self.wake(run.entry);
+            self.schedule_urgent_notices(run.entry);
         }
     }
 
-    /// How often the request that ends engines reached one later than `contact` after it had ended the third.
+    /// How often the crashing request reached an engine later than `contact` ms after it had ended
+    /// the third.
     pub fn reached_after(&self, contact: u64) -> usize {
         let Some(third) = self.ended.get(2) else {
             return 0;
@@ -394,7 +405,7 @@
         late.count()
     }
 
-    /// Innocent requests that were lost, and that were turned away.
+    /// Innocent requests that were lost, and those that were refused.
     pub fn innocent(&self) -> (usize, usize) {
         let innocent = &self.requests[1..];
         let lost = innocent.iter().filter(|r| r.lost > 0).count();
@@ -402,7 +413,7 @@
         (lost, refused)
     }
 
-    /// The most bytes that an entry spent on notices in one second.
+    /// Most bytes that an entry spent on notices in one second.
     pub fn most_bytes(&self) -> u64 {
         let most = self.members.iter().flat_map(|m| m.bytes.iter());
         most.copied().max().unwrap_or(0)
@@ -416,16 +427,16 @@
     }: Scenario,
     zones: usize,
 ) -> Member {
-    let mut book = PeerTable::new(address(i), &[], i as u32);
+    let mut table = PeerTable::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoint_count(engines);
-    book.set_zone(&format!("zone-{}", i % zones));
+    table.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
-        book.record_message(address(peer), &hello(peer % zones, in_zone), Millis(0));
+        table.record_message(address(peer), &hello(peer % zones, in_zone), Millis(0));
     }
     Member {
-        book,
+        table,
         quarantine,
         bytes: vec![0; 200],
         is_telling: false,
