--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -88,18 +88,13 @@
         entry.known[from] = Some(now);
         let round = entry.table.round(false, now);
         entry.sent = (0, round.len());
-        for send_round in round {
-            let bytes = self.bytes(from, send_round.to, send_round.work_scope);
-            let hello = idle_message(
-                &mut self.entries[from],
-                send_round.to,
-                send_round.work_scope,
-                now,
-            );
+        for target in round {
+            let bytes = self.bytes(from, target.to, target.work_scope);
+            let hello = idle_message(&mut self.entries[from], target.to, target.work_scope, now);
             let entry = &mut self.entries[from];
             entry.sent.0 += bytes;
-            entry.table.record_sent_bytes(send_round.work_scope, bytes);
-            self.deliver(from, send_round.to, &hello);
+            entry.table.record_sent_bytes(target.work_scope, bytes);
+            self.deliver(from, target.to, &hello);
         }
     }
 
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -237,7 +237,7 @@
 /// The whole configuration is read from the store by the entries that watch, and by an entry that
 /// its peers don't bring up to date.
 #[test]
-fn can_get_catalog_from_peers() {
+fn catalog_read_from_peers() {
     let (clock, entry) = entry();
     let catalog = |version| Box::new(catalog(version, Vec::new()));
     entry.apply_catalog(catalog(3), "store");
