--- a/src/direct/process.rs
+++ b/src/direct/process.rs
@@ -97,7 +97,7 @@
 fn spawn_sync_tasks(supervisor: &mut Supervisor, entry: &Rc<Entry>, link: UdpSocket) {
     let link = Rc::new(link);
     // This is the only place that sets the link, so it can't be set already.
-    let _ = entry.link.set(Rc::clone(&link));
+    let _ = entry.peer_socket.set(Rc::clone(&link));
     let shared_entry = Rc::clone(entry);
     supervisor.child("follow", move || sync::follow(Rc::clone(&shared_entry)));
     let shared_entry = Rc::clone(entry);
