--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -301,7 +301,7 @@
     for (key, account) in accounts.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| told.get(&digest)) {
-            Some(work) => account.load.told(teller, *work, lasts, now),
+            Some(work) => account.load.record_remote(teller, *work, lasts, now),
             None => account.load.told_at_rest(teller, now),
         }
     }
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -36,7 +36,7 @@
 
 /// Urgency that an endpoint is told, 0 to 9, of a request on a route of urgency `route` whose own, by its team, is `own`.
 ///
-/// The kind of request goes first. Told the team's urgency alone, endpoints preempted 31 to 223 requests in one burst while
+/// The kind of request goes first. RemoteWork the team's urgency alone, endpoints preempted 31 to 223 requests in one burst while
 /// less urgent kinds ran on there; told both, the route first, none in eight plays.
 pub fn urgency_at_endpoint(route: u8, own: u8) -> u8 {
     let of_route = route.min(TOLD_ROUTES) * TOLD_TEAMS;
@@ -110,7 +110,7 @@
 
 /// What was told of work at an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct RemoteWork {
     teller: Teller,
     /// When it was told.
     at: Millis,
@@ -155,7 +155,7 @@
     pressure: f64,
     pressure_at: Millis,
     /// What others told.
-    told: Vec<Told>,
+    remote: Vec<RemoteWork>,
     /// What the endpoint told last, and when.
     report: Option<(Millis, Report)>,
     /// Until when it is taken to be full, since it turned a request away.
@@ -189,9 +189,9 @@
     }
 
     /// Work there was told; it counts for `lasts` unless it is told anew.
-    pub fn told(&mut self, teller: Teller, work: Work, lasts: Millis, now: Millis) {
-        self.told.retain(|told| told.teller != teller);
-        self.told.push(Told {
+    pub fn record_remote(&mut self, teller: Teller, work: Work, lasts: Millis, now: Millis) {
+        self.remote.retain(|told| told.teller != teller);
+        self.remote.push(RemoteWork {
             teller,
             at: now,
             until: now + lasts,
@@ -201,13 +201,13 @@
 
     /// Nothing is under way there by the newest word of a teller: only the pressure of what was is left.
     pub fn told_at_rest(&mut self, teller: Teller, now: Millis) {
-        let Some(at) = self.told.iter().position(|told| told.teller == teller) else {
+        let Some(at) = self.remote.iter().position(|told| told.teller == teller) else {
             return;
         };
-        let told = &mut self.told[at];
+        let told = &mut self.remote[at];
         let pressure = fade(f64::from(told.work.pressure), now - told.at) as u32;
         if pressure < LEAST_PRESSURE {
-            self.told.swap_remove(at);
+            self.remote.swap_remove(at);
             return;
         }
         told.work = Work {
@@ -254,13 +254,13 @@
 
     /// Work of all entries, as far as known.
     pub fn total(&self, now: Millis) -> Work {
-        let fresh = self.told.iter().filter(|told| now < told.until);
+        let fresh = self.remote.iter().filter(|told| now < told.until);
         fresh.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
 
     /// Work of this entry and of the peers that told theirs one by one.
     pub fn of_cell(&self, now: Millis) -> Work {
-        let fresh = self.told.iter().filter(|told| now < told.until);
+        let fresh = self.remote.iter().filter(|told| now < told.until);
         let peers = fresh.filter(|told| matches!(told.teller, Teller::Peer(_)));
         peers.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -235,7 +235,7 @@
         for (to, entry) in entries.iter_mut().enumerate() {
             if to != from {
                 for (load, work) in entry.loads.iter_mut().zip(&own) {
-                    load.told(teller, *work, Millis(60_000), now);
+                    load.record_remote(teller, *work, Millis(60_000), now);
                 }
             }
         }
--- a/tests/direct_load.rs
+++ b/tests/direct_load.rs
@@ -23,9 +23,9 @@
 #[test]
 fn newest_word_counts() {
     let mut load = Load::default();
-    load.told(PEER, work(3), LASTS, Millis(100));
-    load.told(PEER, work(5), LASTS, Millis(200));
-    load.told(zone(), work(7), LASTS, Millis(200));
+    load.record_remote(PEER, work(3), LASTS, Millis(100));
+    load.record_remote(PEER, work(5), LASTS, Millis(200));
+    load.record_remote(zone(), work(7), LASTS, Millis(200));
     assert_eq!(load.total(Millis(300)).running, 12);
     assert_eq!(
         load.of_cell(Millis(300)).running,
@@ -37,8 +37,8 @@
 #[test]
 fn words_lapse() {
     let mut load = Load::default();
-    load.told(PEER, work(3), LASTS, Millis(100));
-    load.told(zone(), work(7), Millis(4_000), Millis(100));
+    load.record_remote(PEER, work(3), LASTS, Millis(100));
+    load.record_remote(zone(), work(7), Millis(4_000), Millis(100));
     assert_eq!(load.total(Millis(1_599)).running, 10);
     assert_eq!(load.total(Millis(1_600)).running, 7);
     assert_eq!(load.total(Millis(4_100)).running, 0);
@@ -48,7 +48,7 @@
 #[test]
 fn rest_fades() {
     let mut load = Load::default();
-    load.told(PEER, work(3), LASTS, Millis(0));
+    load.record_remote(PEER, work(3), LASTS, Millis(0));
     load.told_at_rest(PEER, Millis(1_000));
     let left = load.total(Millis(1_000));
     assert_eq!((left.running, left.held), (0, 0));
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -388,7 +388,7 @@
             for (at, entry) in self.entries.iter_mut().enumerate() {
                 for (from, work) in works.iter().enumerate().filter(|(from, _)| *from != at) {
                     let teller = Teller::Peer(PeerId(from as u64));
-                    entry.loads[engine].told(teller, *work, Millis(1_500), now);
+                    entry.loads[engine].record_remote(teller, *work, Millis(1_500), now);
                 }
             }
         }
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -66,7 +66,7 @@
                 running: running[i] - own[i],
                 ..Work::default()
             };
-            load.told(Teller::Peer(PeerId(1)), work, Millis(1_000), NOW);
+            load.record_remote(Teller::Peer(PeerId(1)), work, Millis(1_000), NOW);
         }
         pool
     }
