--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -6,7 +6,7 @@
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 use crate::direct::lanes::Lanes;
-use crate::direct::load::{Footprint, Work, BANDS};
+use crate::direct::load::{Footprint, EndpointWork, BANDS};
 use crate::direct::moves::{Sources, Supply};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::price::{self, READ_TOKENS_PER_MS};
@@ -184,7 +184,7 @@
 
 /// The time since which an endpoint keeps unused parts: what runs leaves the rest of its memory to
 /// them, and prompts that are read push the oldest out.
-fn kept_since(demand: &Demand<'_>, total: Work, now: Millis) -> Millis {
+fn kept_since(demand: &Demand<'_>, total: EndpointWork, now: Millis) -> Millis {
     let free = demand.memory_tokens() as f64 * KEPT_PART - f64::from(total.held);
     let kept_ms = free.max(0.0) / total.read_per_ms().max(f64::EPSILON);
     now - Millis(kept_ms as u64)
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -6,7 +6,7 @@
 use crate::direct::catalog::EngineShape;
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::health::Record;
-use crate::direct::load::{Load, Work};
+use crate::direct::load::{EndpointLoad, EndpointWork};
 use crate::direct::prefix::Part;
 use crate::direct::room::RoomFor;
 use crate::spread::spread;
@@ -85,7 +85,7 @@
     /// Its entry in the directory.
     pub endpoint: &'a Endpoint,
     /// Its load.
-    pub load: &'a Load,
+    pub load: &'a EndpointLoad,
     /// Its record.
     pub record: &'a Record,
     /// Whether it is taken to warm up.
@@ -100,7 +100,7 @@
     /// The endpoint.
     pub candidate: Candidate<'a>,
     /// Its load from all entries, as far as known.
-    pub total: Work,
+    pub total: EndpointWork,
     /// Tokens at the head of the prompt that it is known to keep, or will once it has read what was
     /// sent to it.
     pub known: u64,
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -12,7 +12,7 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Listing, Revision};
-use crate::direct::load::Report;
+use crate::direct::load::EndpointReport;
 use crate::direct::prefix::Part;
 
 /// A caller's request, as far as decisions need it.
@@ -69,7 +69,7 @@
     /// Whether it carries the endpoint's seal, without which a success does not count.
     pub sealed: bool,
     /// Load that it tells.
-    pub report: Option<Report>,
+    pub report: Option<EndpointReport>,
     /// Time that the endpoint keeps an idle connection.
     pub idle_time: Option<Millis>,
     /// What the endpoint announces of itself.
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -12,7 +12,7 @@
 use crate::direct::directory::{Endpoint, EndpointKey, Standing};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
 use crate::direct::health::{Fault, Record};
-use crate::direct::load::{Footprint, Load};
+use crate::direct::load::{Footprint, EndpointLoad};
 use crate::direct::turnover::Turnover;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
@@ -36,7 +36,7 @@
     /// Digest of this life of it.
     life: LifeDigest,
     /// Its load.
-    pub load: Load,
+    pub load: EndpointLoad,
     /// Its record.
     pub record: Record,
     /// When anything last came from it.
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -12,7 +12,7 @@
 use crate::direct::entry::{Entry, Fetch, Life};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
-use crate::direct::load::{Load, Teller, Work};
+use crate::direct::load::{EndpointLoad, LoadSource, EndpointWork};
 use crate::direct::peers::{self, Covers, Hello, Tell, FAR_BYTES, MOST_BYTES, ROUND};
 use crate::quarantine::{Notice, MOST_NOTICES};
 
@@ -240,11 +240,11 @@
 }
 
 /// The work that a datagram tells, by the digests of the endpoints.
-fn work_for(entry: &Entry, covers: Covers, now: Millis) -> Vec<(u32, Work)> {
-    let of = |load: &Load| match covers {
+fn work_for(entry: &Entry, covers: Covers, now: Millis) -> Vec<(u32, EndpointWork)> {
+    let of = |load: &EndpointLoad| match covers {
         Covers::Sender => load.own(now),
         Covers::Zone => load.of_cell(now),
-        Covers::Nothing => Work::default(),
+        Covers::Nothing => EndpointWork::default(),
     };
     let directory = entry.directory();
     let accounts = entry.accounts();
@@ -291,11 +291,11 @@
 fn take_work(entry: &Entry, hello: &Hello, now: Millis) {
     let book = entry.peers.borrow();
     let (teller, lasts) = match (hello.covers, hello.zone) {
-        (Covers::Sender, _) => (Teller::Peer(hello.from), book.near_word()),
-        (Covers::Zone, Some(zone)) => (Teller::Zone(zone), book.zone_word(now)),
+        (Covers::Sender, _) => (LoadSource::Peer(hello.from), book.near_word()),
+        (Covers::Zone, Some(zone)) => (LoadSource::Zone(zone), book.zone_word(now)),
         (Covers::Zone, None) | (Covers::Nothing, _) => return,
     };
-    let told: HashMap<u32, Work> = hello.work.iter().copied().collect();
+    let told: HashMap<u32, EndpointWork> = hello.work.iter().copied().collect();
     let directory = entry.directory();
     let mut accounts = entry.accounts_mut();
     for (key, account) in accounts.iter_mut() {
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -45,7 +45,7 @@
 
 /// Work of one entry at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Work {
+pub struct EndpointWork {
     /// Requests sent and not ended.
     pub running: u32,
     /// Prompt tokens still to be read, by band.
@@ -60,7 +60,7 @@
     pub pressure: u32,
 }
 
-impl Work {
+impl EndpointWork {
     /// Nothing is under way; only pressure may be left.
     pub fn is_at_rest(&self) -> bool {
         let pressure = self.pressure;
@@ -101,7 +101,7 @@
 
 /// Who told of work at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
+pub enum LoadSource {
     /// A peer, of its own.
     Peer(PeerId),
     /// Some entry of another availability zone, of all entries there.
@@ -111,12 +111,12 @@
 /// What was told of work at an endpoint.
 #[derive(Debug, Clone, Copy)]
 struct RemoteWork {
-    teller: Teller,
+    teller: LoadSource,
     /// When it was told.
     at: Millis,
     /// Until when it counts.
     until: Millis,
-    work: Work,
+    work: EndpointWork,
 }
 
 /// What one request adds to an endpoint's load.
@@ -134,7 +134,7 @@
 
 /// What an endpoint told of itself in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct EndpointReport {
     /// Requests that it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -148,21 +148,21 @@
 
 /// The load of one endpoint.
 #[derive(Debug, Default)]
-pub struct Load {
+pub struct EndpointLoad {
     /// This entry's own work, but for its pressure.
-    own: Work,
-    /// [`Work::pressure`] of this entry as it was at `pressure_at`.
+    own: EndpointWork,
+    /// [`EndpointWork::pressure`] of this entry as it was at `pressure_at`.
     pressure: f64,
     pressure_at: Millis,
     /// What others told.
     remote: Vec<RemoteWork>,
     /// What the endpoint told last, and when.
-    report: Option<(Millis, Report)>,
+    report: Option<(Millis, EndpointReport)>,
     /// Until when it is taken to be full, since it turned a request away.
     full_until: Millis,
 }
 
-impl Load {
+impl EndpointLoad {
     /// A request is sent there.
     pub fn begin(&mut self, footprint: Footprint, now: Millis) {
         self.own.running += 1;
@@ -189,7 +189,7 @@
     }
 
     /// Work there was told; it counts for `lasts` unless it is told anew.
-    pub fn record_remote(&mut self, teller: Teller, work: Work, lasts: Millis, now: Millis) {
+    pub fn record_remote(&mut self, teller: LoadSource, work: EndpointWork, lasts: Millis, now: Millis) {
         self.remote.retain(|told| told.teller != teller);
         self.remote.push(RemoteWork {
             teller,
@@ -200,7 +200,7 @@
     }
 
     /// Nothing is under way there by the newest word of a teller: only the pressure of what was is left.
-    pub fn told_at_rest(&mut self, teller: Teller, now: Millis) {
+    pub fn told_at_rest(&mut self, teller: LoadSource, now: Millis) {
         let Some(at) = self.remote.iter().position(|told| told.teller == teller) else {
             return;
         };
@@ -210,16 +210,16 @@
             self.remote.swap_remove(at);
             return;
         }
-        told.work = Work {
+        told.work = EndpointWork {
             pressure,
-            ..Work::default()
+            ..EndpointWork::default()
         };
         told.until = told.until + (now - told.at);
         told.at = now;
     }
 
     /// The endpoint told its load.
-    pub fn reported(&mut self, report: Report, now: Millis) {
+    pub fn reported(&mut self, report: EndpointReport, now: Millis) {
         self.report = Some((now, report));
     }
 
@@ -240,8 +240,8 @@
     }
 
     /// This entry's own work there.
-    pub fn own(&self, now: Millis) -> Work {
-        Work {
+    pub fn own(&self, now: Millis) -> EndpointWork {
+        EndpointWork {
             pressure: self.pressure_now(now) as u32,
             ..self.own
         }
@@ -253,15 +253,15 @@
     }
 
     /// Work of all entries, as far as known.
-    pub fn total(&self, now: Millis) -> Work {
+    pub fn total(&self, now: Millis) -> EndpointWork {
         let fresh = self.remote.iter().filter(|told| now < told.until);
         fresh.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
 
     /// Work of this entry and of the peers that told theirs one by one.
-    pub fn of_cell(&self, now: Millis) -> Work {
+    pub fn of_cell(&self, now: Millis) -> EndpointWork {
         let fresh = self.remote.iter().filter(|told| now < told.until);
-        let peers = fresh.filter(|told| matches!(told.teller, Teller::Peer(_)));
+        let peers = fresh.filter(|told| matches!(told.teller, LoadSource::Peer(_)));
         peers.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
 
--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::direct::load::{Work, BANDS};
+use crate::direct::load::{EndpointWork, BANDS};
 
 /// Tokens to read in a block.
 const UNREAD_BLOCK: u32 = 64;
@@ -25,7 +25,7 @@
 }
 
 impl Blocks {
-    fn of(endpoint: u32, work: &Work) -> Self {
+    fn of(endpoint: u32, work: &EndpointWork) -> Self {
         Self {
             endpoint: endpoint.to_be_bytes(),
             running: work.running,
@@ -36,8 +36,8 @@
         }
     }
 
-    fn work(&self) -> (u32, Work) {
-        let work = Work {
+    fn work(&self) -> (u32, EndpointWork) {
+        let work = EndpointWork {
             running: self.running,
             unread: self
                 .unread
@@ -52,7 +52,7 @@
 
 /// Writes work at endpoints.
 pub(super) fn serialize<S: Serializer>(
-    work: &[(u32, Work)],
+    work: &[(u32, EndpointWork)],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
     let blocks = work
@@ -64,7 +64,7 @@
 /// Reads work at endpoints.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
-) -> Result<Vec<(u32, Work)>, D::Error> {
+) -> Result<Vec<(u32, EndpointWork)>, D::Error> {
     let blocks = Vec::<Blocks>::deserialize(deserializer)?;
     Ok(blocks.iter().map(Blocks::work).collect())
 }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -8,7 +8,7 @@
 use super::compact;
 use super::zones::ZoneId;
 use super::PlacedPrompt;
-use crate::direct::load::Work;
+use crate::direct::load::EndpointWork;
 
 /// Longest datagram that is sent or read, in bytes: below the usual limit of a packet on a path.
 pub const MOST_BYTES: usize = 8 << 10;
@@ -70,7 +70,7 @@
     pub covers: Covers,
     /// Work at endpoints, by the digest of their identity; those at rest are left out.
     #[serde(with = "compact")]
-    pub work: Vec<(u32, Work)>,
+    pub work: Vec<(u32, EndpointWork)>,
     /// Prompts that they placed lately.
     pub placed: Vec<PlacedPrompt>,
 }
@@ -92,7 +92,7 @@
     }
     let mut shorter = hello.clone();
     shorter.placed.clear();
-    let weight = |work: &Work| Reverse((work.running, work.all_unread()));
+    let weight = |work: &EndpointWork| Reverse((work.running, work.all_unread()));
     shorter.work.sort_by_key(|(_, work)| weight(work));
     loop {
         let bytes = write(&shorter)?;
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::direct::demand::{Candidate, Demand, Seen};
-use crate::direct::load::{streams, Work, BANDS, WHOLE};
+use crate::direct::load::{streams, EndpointWork, BANDS, WHOLE};
 use crate::direct::moves::Supply;
 
 /// Prompt tokens that an engine reads in a millisecond. Only the ratio to the other terms matters:
@@ -177,7 +177,7 @@
 }
 
 /// Prompt tokens that are read before the request's own; less urgent ones count in part.
-fn tokens_before(demand: &Demand<'_>, total: Work) -> f64 {
+fn tokens_before(demand: &Demand<'_>, total: EndpointWork) -> f64 {
     let mut before = 0.0;
     for band in 0..BANDS {
         let part = if band <= demand.band {
@@ -235,7 +235,7 @@
 }
 
 /// Price of overfull memory; none for plain services.
-fn memory_ms(demand: &Demand<'_>, total: Work) -> f64 {
+fn memory_ms(demand: &Demand<'_>, total: EndpointWork) -> f64 {
     if demand.engine.is_none() {
         return 0.0;
     }
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use violetline::clock::Millis;
-use violetline::direct::load::Work;
+use violetline::direct::load::EndpointWork;
 use violetline::direct::peers::{
     encode_within, Covers, Hello, PeerBook, PeerId, PlacedPrompt, FAR_BYTES, MOST_BYTES, ROUND,
     ROUND_BYTES,
@@ -193,7 +193,7 @@
 
 /// A datagram of a busy entry: work at some endpoints, or at 100 of the zone, and placements.
 fn busy(entry: &mut Entry, to: SocketAddr, covers: Covers, busy_at: u32) -> Hello {
-    let work = Work {
+    let work = EndpointWork {
         running: 2,
         unread: [0, 2_000, 7_000],
         held: 12_000,
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -9,7 +9,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, Grade, Record};
-use violetline::direct::load::{Footprint, Load, Report};
+use violetline::direct::load::{Footprint, EndpointLoad, EndpointReport};
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
 
@@ -23,7 +23,7 @@
 /// Endpoints a, b, c with their loads and records.
 struct Pool {
     directory: Directory,
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     records: Vec<Record>,
     prefixes: PrefixMap,
 }
@@ -36,7 +36,7 @@
         }
         Self {
             directory,
-            loads: (0..3).map(|_| Load::default()).collect(),
+            loads: (0..3).map(|_| EndpointLoad::default()).collect(),
             records: vec![Record::default(); 3],
             prefixes: PrefixMap::default(),
         }
@@ -235,7 +235,7 @@
 #[test]
 fn endpoint_reports_waiting() {
     let mut pool = Pool::new();
-    let report = Report {
+    let report = EndpointReport {
         running: 6,
         waiting: 10,
         slots: 6,
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -12,7 +12,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::{Fault, Record};
-use violetline::direct::load::{Footprint, Load, Teller};
+use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
@@ -28,7 +28,7 @@
 struct Entry {
     directory: Directory,
     keys: Vec<EndpointKey>,
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     records: Vec<Record>,
     prefixes: PrefixMap,
 }
@@ -43,7 +43,7 @@
         Self {
             keys: ids.iter().filter_map(|id| directory.key(id)).collect(),
             directory,
-            loads: (0..endpoints).map(|_| Load::default()).collect(),
+            loads: (0..endpoints).map(|_| EndpointLoad::default()).collect(),
             records: vec![Record::default(); endpoints],
             prefixes: PrefixMap::default(),
         }
@@ -231,7 +231,7 @@
             .iter()
             .map(|load| load.own(now))
             .collect();
-        let teller = Teller::Peer(PeerId(from as u64));
+        let teller = LoadSource::Peer(PeerId(from as u64));
         for (to, entry) in entries.iter_mut().enumerate() {
             if to != from {
                 for (load, work) in entry.loads.iter_mut().zip(&own) {
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -10,7 +10,7 @@
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, Record};
 use violetline::direct::lanes::Lanes;
-use violetline::direct::load::{Footprint, Load};
+use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
 
@@ -27,7 +27,7 @@
 struct Pool {
     directory: Directory,
     keys: Vec<EndpointKey>,
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     records: Vec<Record>,
 }
 
@@ -45,7 +45,7 @@
         Self {
             keys: (0..count).map(key).collect(),
             directory,
-            loads: (0..count).map(|_| Load::default()).collect(),
+            loads: (0..count).map(|_| EndpointLoad::default()).collect(),
             records: vec![Record::default(); count],
         }
     }
--- a/tests/direct_load.rs
+++ b/tests/direct_load.rs
@@ -1,28 +1,28 @@
 //! The load of an endpoint: what others told of it, and for how long that counts.
 
 use violetline::clock::Millis;
-use violetline::direct::load::{Load, Teller, Work};
+use violetline::direct::load::{EndpointLoad, LoadSource, EndpointWork};
 use violetline::direct::peers::{PeerId, ZoneId};
 
-const PEER: Teller = Teller::Peer(PeerId(1));
+const PEER: LoadSource = LoadSource::Peer(PeerId(1));
 const LASTS: Millis = Millis(1_500);
 
-fn zone() -> Teller {
-    Teller::Zone(ZoneId::of("hall-b").unwrap())
+fn zone() -> LoadSource {
+    LoadSource::Zone(ZoneId::of("hall-b").unwrap())
 }
 
-fn work(running: u32) -> Work {
-    Work {
+fn work(running: u32) -> EndpointWork {
+    EndpointWork {
         running,
         held: 1_000 * running,
         pressure: 8_000,
-        ..Work::default()
+        ..EndpointWork::default()
     }
 }
 
 #[test]
 fn newest_word_counts() {
-    let mut load = Load::default();
+    let mut load = EndpointLoad::default();
     load.record_remote(PEER, work(3), LASTS, Millis(100));
     load.record_remote(PEER, work(5), LASTS, Millis(200));
     load.record_remote(zone(), work(7), LASTS, Millis(200));
@@ -36,7 +36,7 @@
 
 #[test]
 fn words_lapse() {
-    let mut load = Load::default();
+    let mut load = EndpointLoad::default();
     load.record_remote(PEER, work(3), LASTS, Millis(100));
     load.record_remote(zone(), work(7), Millis(4_000), Millis(100));
     assert_eq!(load.total(Millis(1_599)).running, 10);
@@ -47,7 +47,7 @@
 /// An endpoint that a teller leaves out is at rest, but what it read lately is not forgotten at once.
 #[test]
 fn rest_fades() {
-    let mut load = Load::default();
+    let mut load = EndpointLoad::default();
     load.record_remote(PEER, work(3), LASTS, Millis(0));
     load.told_at_rest(PEER, Millis(1_000));
     let left = load.total(Millis(1_000));
@@ -56,7 +56,7 @@
     for s in 2..15 {
         load.told_at_rest(PEER, Millis(s * 1_000));
     }
-    assert_eq!(load.total(Millis(14_000)), Work::default());
+    assert_eq!(load.total(Millis(14_000)), EndpointWork::default());
     load.told_at_rest(zone(), Millis(15_000));
-    assert_eq!(load.total(Millis(15_000)), Work::default());
+    assert_eq!(load.total(Millis(15_000)), EndpointWork::default());
 }
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -9,7 +9,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::{Fault, Record};
-use violetline::direct::load::{Footprint, Load};
+use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
 use violetline::direct::turnover::Recent;
@@ -29,7 +29,7 @@
 /// Endpoints a, b, c, of which a keeps the shared parts and has much to read.
 struct Pool {
     directory: Directory,
-    loads: [Load; 3],
+    loads: [EndpointLoad; 3],
     records: [Record; 3],
     prefixes: PrefixMap,
     moves: Option<MoveShape>,
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -7,7 +7,7 @@
 
 use common::hello;
 use violetline::clock::Millis;
-use violetline::direct::load::Work;
+use violetline::direct::load::EndpointWork;
 use violetline::direct::peers::{
     self, Hello, PeerBook, PeerId, PlacedPrompt, RecentPlacements, MOST_BYTES, PER_ROUND, ROUND,
 };
@@ -280,11 +280,11 @@
     sent.work = (0..3_500)
         .map(|endpoint| {
             let running = endpoint % 50;
-            let work = Work {
+            let work = EndpointWork {
                 running,
                 unread: [9_000; 3],
                 held: 100_000,
-                ..Work::default()
+                ..EndpointWork::default()
             };
             (endpoint, work)
         })
@@ -301,7 +301,7 @@
 #[test]
 fn datagram_size() {
     let mut sent = hello(u64::MAX, u64::MAX, Some(u64::MAX));
-    let work = Work {
+    let work = EndpointWork {
         running: 12,
         unread: [300, 2_000, 9_000],
         held: 40_000,
@@ -331,20 +331,20 @@
 #[test]
 fn work_in_blocks() {
     let mut sent = hello(1, 2, None);
-    let work = Work {
+    let work = EndpointWork {
         running: 3,
         unread: [1, 64, 65],
         held: 257,
         delicate: 100,
         pressure: u32::MAX,
     };
-    sent.work = vec![(7, work), (u32::MAX, Work::default())];
+    sent.work = vec![(7, work), (u32::MAX, EndpointWork::default())];
     let heard = peers::decode(&peers::encode(&sent).unwrap()).unwrap();
     let (endpoint, rounded) = heard.work[0];
     assert_eq!((endpoint, rounded.running), (7, 3));
     assert_eq!((rounded.unread, rounded.held), ([64, 64, 128], 512));
     assert_eq!((rounded.delicate, rounded.pressure), (100, u32::MAX));
-    assert_eq!(heard.work[1], (u32::MAX, Work::default()));
+    assert_eq!(heard.work[1], (u32::MAX, EndpointWork::default()));
 }
 
 /// An entry asks for a proof where the store is watched, in its own cell first.
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -15,7 +15,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::Record;
-use violetline::direct::load::{Footprint, Load, Teller};
+use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
@@ -188,7 +188,7 @@
 
 /// One entry's knowledge.
 struct Entry {
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     records: Vec<Record>,
     prefixes: PrefixMap,
 }
@@ -217,7 +217,7 @@
         }
         let keys = ids.iter().map(|id| directory.key(id).unwrap()).collect();
         let entry = || Entry {
-            loads: (0..ENGINES).map(|_| Load::default()).collect(),
+            loads: (0..ENGINES).map(|_| EndpointLoad::default()).collect(),
             records: vec![Record::default(); ENGINES],
             prefixes: PrefixMap::default(),
         };
@@ -387,7 +387,7 @@
                 .collect();
             for (at, entry) in self.entries.iter_mut().enumerate() {
                 for (from, work) in works.iter().enumerate().filter(|(from, _)| *from != at) {
-                    let teller = Teller::Peer(PeerId(from as u64));
+                    let teller = LoadSource::Peer(PeerId(from as u64));
                     entry.loads[engine].record_remote(teller, *work, Millis(1_500), now);
                 }
             }
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -13,7 +13,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, Listed};
 use violetline::direct::health::Record;
-use violetline::direct::load::{Load, Report};
+use violetline::direct::load::{EndpointLoad, EndpointReport};
 use violetline::direct::prefix::PrefixMap;
 use violetline::direct::room::RoomFor;
 
@@ -45,7 +45,7 @@
     };
     directory.apply(Change::Put(only), Millis(0));
     let key = directory.key("a").unwrap();
-    let mut loads: Vec<Load> = (0..ENTRIES).map(|_| Load::default()).collect();
+    let mut loads: Vec<EndpointLoad> = (0..ENTRIES).map(|_| EndpointLoad::default()).collect();
     let mut records = vec![Record::default(); ENTRIES];
     let mut calls: VecDeque<Call> = VecDeque::new();
     let (mut in_time, mut late) = (0, 0);
@@ -102,9 +102,9 @@
     (in_time, late)
 }
 
-fn report(calls: &VecDeque<Call>) -> Report {
+fn report(calls: &VecDeque<Call>) -> EndpointReport {
     let present = calls.len();
-    Report {
+    EndpointReport {
         running: present.min(SLOTS) as u32,
         waiting: present.saturating_sub(SLOTS) as u32,
         slots: SLOTS as u32,
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -9,7 +9,7 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::Record;
-use violetline::direct::load::{Footprint, Load, Teller, Work};
+use violetline::direct::load::{Footprint, EndpointLoad, LoadSource, EndpointWork};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::PrefixMap;
 use violetline::direct::room::RoomFor;
@@ -34,7 +34,7 @@
 /// Endpoints with as many running as told.
 struct Pool {
     directory: Directory,
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     prefixes: PrefixMap,
 }
 
@@ -45,7 +45,7 @@
             directory.apply(Change::Put(listed(id, 1)), Millis(0));
         }
         let load = |running| {
-            let mut load = Load::default();
+            let mut load = EndpointLoad::default();
             for _ in 0..running {
                 load.begin(RUN, NOW);
             }
@@ -62,11 +62,11 @@
     fn told(running: [u32; 4], own: [u32; 4]) -> Self {
         let mut pool = Self::new(own);
         for (i, load) in pool.loads.iter_mut().enumerate() {
-            let work = Work {
+            let work = EndpointWork {
                 running: running[i] - own[i],
-                ..Work::default()
+                ..EndpointWork::default()
             };
-            load.record_remote(Teller::Peer(PeerId(1)), work, Millis(1_000), NOW);
+            load.record_remote(LoadSource::Peer(PeerId(1)), work, Millis(1_000), NOW);
         }
         pool
     }
