--- a/src/direct/catalog.rs
+++ b/src/direct/catalog.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
-use crate::direct::load::{band, BANDS, WHOLE};
+use crate::direct::load::{band, BANDS, FULL_STREAM};
 use crate::direct::warmup::WarmUp;
 use crate::ids::TeamKey;
 
@@ -330,7 +330,7 @@
             return 0;
         };
         let ratio = self.tightest_pause(pool).0 as f64 / own.0 as f64;
-        (ratio * ratio * f64::from(WHOLE)) as u32
+        (ratio * ratio * f64::from(FULL_STREAM)) as u32
     }
 
     /// The tightest pause among a pool's streams; 0 where there are none.
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -170,7 +170,7 @@
         has_room: true,
         sent_part: 1.0,
         read_band: None,
-        is_full: candidate.load.present(now) >= candidate.endpoint.listed.slots,
+        is_full: candidate.load.occupancy(now) >= candidate.endpoint.listed.slots,
     }
 }
 
@@ -186,6 +186,6 @@
 /// them, and prompts that are read push the oldest out.
 fn kept_since(demand: &Demand<'_>, total: EndpointWork, now: Millis) -> Millis {
     let free = demand.memory_tokens() as f64 * KEPT_PART - f64::from(total.held);
-    let kept_ms = free.max(0.0) / total.read_per_ms().max(f64::EPSILON);
+    let kept_ms = free.max(0.0) / total.prefill_tokens_per_ms().max(f64::EPSILON);
     now - Millis(kept_ms as u64)
 }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -379,7 +379,7 @@
             .account(self.key, |account| account.load.end(footprint));
         if self.end.get() != RunEnd::Undecided {
             self.entry
-                .account(self.key, |account| account.load.made_room());
+                .account(self.key, |account| account.load.clear_full());
         }
         match self.end.get() {
             RunEnd::Answered => self.entry.run_finished(self.request),
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -243,7 +243,7 @@
 fn work_for(entry: &Entry, covers: Covers, now: Millis) -> Vec<(u32, EndpointWork)> {
     let of = |load: &EndpointLoad| match covers {
         Covers::Sender => load.own(now),
-        Covers::Zone => load.of_cell(now),
+        Covers::Zone => load.zone_total(now),
         Covers::Nothing => EndpointWork::default(),
     };
     let directory = entry.directory();
@@ -251,7 +251,7 @@
     let all = accounts
         .iter()
         .map(|(key, account)| (key, of(&account.load)));
-    all.filter(|(_, work)| !work.is_at_rest())
+    all.filter(|(_, work)| !work.is_idle())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
 }
@@ -302,7 +302,7 @@
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| told.get(&digest)) {
             Some(work) => account.load.record_remote(teller, *work, lasts, now),
-            None => account.load.told_at_rest(teller, now),
+            None => account.load.record_remote_idle(teller, now),
         }
     }
 }
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -80,7 +80,7 @@
         self.entry.account(key, |account| {
             account.hear(now);
             if let Some(report) = verdict.report {
-                account.load.reported(report, now);
+                account.load.record_report(report, now);
             }
         });
     }
@@ -116,7 +116,7 @@
         if verdict.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
-                .account(key, |account| account.load.turned_away(now));
+                .account(key, |account| account.load.mark_full(now));
             self.note_turned_away();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -124,7 +124,7 @@
         let accounts = self.entry.accounts();
         let is_free = |key: EndpointKey, slots: u32| {
             let account = accounts.get(key);
-            let has_room = account.is_some_and(|account| account.load.present(now) < slots);
+            let has_room = account.is_some_and(|account| account.load.occupancy(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
         let open = directory.of_pool(&self.pool, now);
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -33,9 +33,9 @@
 }
 
 impl Lanes {
-    /// Parts the endpoints that are well in proportion to both kinds of load; `read_per_ms` is the
+    /// Parts the endpoints that are well in proportion to both kinds of load; `prefill_tokens_per_ms` is the
     /// number of prompt tokens that an endpoint reads in a millisecond.
-    pub fn part(all: &[Seen<'_>], read_per_ms: f64) -> Self {
+    pub fn part(all: &[Seen<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut well: Vec<&Candidate<'_>> = all
             .iter()
             .map(|seen| &seen.candidate)
@@ -45,7 +45,7 @@
             return Self::default();
         }
         well.sort_by_key(|candidate| candidate.endpoint.digest);
-        let needs = Needs::of(all, read_per_ms);
+        let needs = Needs::of(all, prefill_tokens_per_ms);
         if needs.writing > most_writing(well.len() as f64) {
             return Self::default();
         }
@@ -70,13 +70,13 @@
 }
 
 impl Needs {
-    fn of(all: &[Seen<'_>], read_per_ms: f64) -> Self {
+    fn of(all: &[Seen<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut needs = Self::default();
         for seen in all {
             let work = &seen.total;
             let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-            needs.writing += load::streams(work.delicate) / (slots * STREAMS_PART);
-            needs.reading += work.read_per_ms() / (read_per_ms * READING_PART);
+            needs.writing += load::stream_equivalents(work.delicate) / (slots * STREAMS_PART);
+            needs.reading += work.prefill_tokens_per_ms() / (prefill_tokens_per_ms * READING_PART);
         }
         needs
     }
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -22,11 +22,11 @@
 const REPORT_WORD: Millis = Millis(300);
 
 /// A whole delicate stream, in hundredths.
-pub const WHOLE: u32 = 100;
+pub const FULL_STREAM: u32 = 100;
 
 /// Delicate streams from hundredths.
-pub fn streams(hundredths: u32) -> f64 {
-    f64::from(hundredths) / f64::from(WHOLE)
+pub fn stream_equivalents(hundredths: u32) -> f64 {
+    f64::from(hundredths) / f64::from(FULL_STREAM)
 }
 
 /// Band of a priority.
@@ -62,7 +62,7 @@
 
 impl EndpointWork {
     /// Nothing is under way; only pressure may be left.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let pressure = self.pressure;
         *self
             == Self {
@@ -72,13 +72,13 @@
     }
 
     /// Prompt tokens still to be read, of all bands.
-    pub fn all_unread(&self) -> u32 {
+    pub fn total_unread(&self) -> u32 {
         self.unread.iter().fold(0, |sum, n| sum.saturating_add(*n))
     }
 
     /// Prompt tokens of coarse requests that are read in a millisecond: where the load is steady,
     /// as many as are forgotten in one.
-    pub fn read_per_ms(&self) -> f64 {
+    pub fn prefill_tokens_per_ms(&self) -> f64 {
         f64::from(self.pressure) * LN_2 / PRESSURE_HALF_LIFE_MS
     }
 
@@ -170,7 +170,7 @@
         *unread = unread.saturating_add(footprint.unread);
         self.own.held = self.own.held.saturating_add(footprint.held);
         self.own.delicate += footprint.delicate;
-        let coarse = 1.0 - streams(footprint.delicate.min(WHOLE));
+        let coarse = 1.0 - stream_equivalents(footprint.delicate.min(FULL_STREAM));
         self.pressure = self.pressure_now(now) + f64::from(footprint.unread) * coarse;
         self.pressure_at = now;
     }
@@ -200,7 +200,7 @@
     }
 
     /// Nothing is under way there by the newest word of a teller: only the pressure of what was is left.
-    pub fn told_at_rest(&mut self, teller: LoadSource, now: Millis) {
+    pub fn record_remote_idle(&mut self, teller: LoadSource, now: Millis) {
         let Some(at) = self.remote.iter().position(|told| told.teller == teller) else {
             return;
         };
@@ -219,17 +219,17 @@
     }
 
     /// The endpoint told its load.
-    pub fn reported(&mut self, report: EndpointReport, now: Millis) {
+    pub fn record_report(&mut self, report: EndpointReport, now: Millis) {
         self.report = Some((now, report));
     }
 
     /// The endpoint turned a request away for want of room.
-    pub fn turned_away(&mut self, now: Millis) {
+    pub fn mark_full(&mut self, now: Millis) {
         self.full_until = now + FULL_WORD;
     }
 
     /// A run of this entry there ended, so there is room again.
-    pub fn made_room(&mut self) {
+    pub fn clear_full(&mut self) {
         self.full_until = Millis(0);
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Work of this entry and of the peers that told theirs one by one.
-    pub fn of_cell(&self, now: Millis) -> EndpointWork {
+    pub fn zone_total(&self, now: Millis) -> EndpointWork {
         let fresh = self.remote.iter().filter(|told| now < told.until);
         let peers = fresh.filter(|told| matches!(told.teller, LoadSource::Peer(_)));
         peers.fold(self.own(now), |sum, told| sum.plus(told.work))
@@ -267,7 +267,7 @@
 
     /// Requests that the endpoint works on or that wait there: as far as entries know, or by its own word where
     /// that is fresh and tells of more.
-    pub fn present(&self, now: Millis) -> u32 {
+    pub fn occupancy(&self, now: Millis) -> u32 {
         let told = match self.report {
             Some((at, report)) if now - at < REPORT_WORD => report.running + report.waiting,
             _ => 0,
--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -87,7 +87,7 @@
                 found.add(Source {
                     key: seen.candidate.key,
                     ready: seen.ready,
-                    unread: seen.total.all_unread(),
+                    unread: seen.total.total_unread(),
                     draw: demand.draw_for(seen.candidate.endpoint.digest),
                 });
             }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -92,7 +92,7 @@
     }
     let mut shorter = hello.clone();
     shorter.placed.clear();
-    let weight = |work: &EndpointWork| Reverse((work.running, work.all_unread()));
+    let weight = |work: &EndpointWork| Reverse((work.running, work.total_unread()));
     shorter.work.sort_by_key(|(_, work)| weight(work));
     loop {
         let bytes = write(&shorter)?;
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Millis;
 use crate::direct::demand::{Candidate, Demand, Seen};
-use crate::direct::load::{streams, EndpointWork, BANDS, WHOLE};
+use crate::direct::load::{stream_equivalents, EndpointWork, BANDS, FULL_STREAM};
 use crate::direct::moves::Supply;
 
 /// Prompt tokens that an engine reads in a millisecond. Only the ratio to the other terms matters:
@@ -104,7 +104,7 @@
     let first_read = seen.first_read.unwrap_or_default();
     let spared = supply.spared() + first_read;
     let again = demand.shared_tokens().saturating_sub(spared);
-    let own = streams(demand.delicate.min(WHOLE));
+    let own = stream_equivalents(demand.delicate.min(FULL_STREAM));
     let coarse = match seen.first_read {
         Some(_) => READ_AGAIN_HOME,
         None => READ_AGAIN,
@@ -133,7 +133,7 @@
     if demand.pause == Millis(0) {
         return 0.0;
     }
-    let own = streams(demand.delicate.min(WHOLE));
+    let own = stream_equivalents(demand.delicate.min(FULL_STREAM));
     let unfit = if seen.is_kept { 1.0 - own } else { own };
     unfit * OTHER_LANE_MS
 }
@@ -157,7 +157,7 @@
 pub fn backlog_ms(all: &[Seen<'_>]) -> f64 {
     let unread: f64 = all
         .iter()
-        .map(|seen| f64::from(seen.total.all_unread()))
+        .map(|seen| f64::from(seen.total.total_unread()))
         .sum();
     read_ms(unread) / all.len().max(1) as f64
 }
@@ -193,7 +193,7 @@
 /// Time that a plain service takes: its work, once a slot is free, and a little for each that is taken.
 fn plain_ms(seen: &Seen<'_>, now: Millis) -> f64 {
     let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-    let present = f64::from(seen.candidate.load.present(now));
+    let present = f64::from(seen.candidate.load.occupancy(now));
     let queued = (present + 1.0 - slots).max(0.0);
     PLAIN_MS * (1.0 + queued / slots) + present / slots * USED_SLOTS_MS
 }
@@ -220,10 +220,10 @@
 /// other, which parts the engines between them as far as the load allows.
 fn beside_ms(demand: &Demand<'_>, seen: &Seen<'_>, unread: u64) -> f64 {
     let total = seen.total;
-    let own = streams(demand.delicate);
-    let others = streams(total.delicate);
+    let own = stream_equivalents(demand.delicate);
+    let others = stream_equivalents(total.delicate);
     let read = read_ms(unread as f64);
-    let queued = read_ms(f64::from(total.all_unread()));
+    let queued = read_ms(f64::from(total.total_unread()));
     let beyond = (queued + read - demand.pause.0 as f64 * PAUSE_PART).clamp(0.0, read);
     let harm = others * (read * (1.0 - own) * HARM + beyond * HARM_BEYOND);
     if seen.is_kept {
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -240,8 +240,8 @@
         waiting: 10,
         slots: 6,
     };
-    pool.loads[0].reported(report, NOW);
-    pool.loads[1].reported(report, NOW);
+    pool.loads[0].record_report(report, NOW);
+    pool.loads[1].record_report(report, NOW);
     assert_eq!(pool.choose(demand(&[])).key, pool.key(2));
 }
 
--- a/tests/direct_load.rs
+++ b/tests/direct_load.rs
@@ -28,7 +28,7 @@
     load.record_remote(zone(), work(7), LASTS, Millis(200));
     assert_eq!(load.total(Millis(300)).running, 12);
     assert_eq!(
-        load.of_cell(Millis(300)).running,
+        load.zone_total(Millis(300)).running,
         5,
         "other zones are left out"
     );
@@ -49,14 +49,14 @@
 fn rest_fades() {
     let mut load = EndpointLoad::default();
     load.record_remote(PEER, work(3), LASTS, Millis(0));
-    load.told_at_rest(PEER, Millis(1_000));
+    load.record_remote_idle(PEER, Millis(1_000));
     let left = load.total(Millis(1_000));
     assert_eq!((left.running, left.held), (0, 0));
     assert!((5_000..6_000).contains(&left.pressure), "{}", left.pressure);
     for s in 2..15 {
-        load.told_at_rest(PEER, Millis(s * 1_000));
+        load.record_remote_idle(PEER, Millis(s * 1_000));
     }
     assert_eq!(load.total(Millis(14_000)), EndpointWork::default());
-    load.told_at_rest(zone(), Millis(15_000));
+    load.record_remote_idle(zone(), Millis(15_000));
     assert_eq!(load.total(Millis(15_000)), EndpointWork::default());
 }
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -92,7 +92,7 @@
             let seen = Millis(now + WAY - call.sent);
             loads[call.entry].end(call.choice.footprint);
             records[call.entry].began(at, seen, call.choice.usual_ms);
-            loads[call.entry].reported(report(&calls), at);
+            loads[call.entry].record_report(report(&calls), at);
             match seen <= TARGET {
                 true => in_time += 1,
                 false => late += 1,
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -147,14 +147,14 @@
     let mut pool = Pool::new([0, 9, 9, 9]);
     let best = pool.key(0);
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].turned_away(NOW);
+    pool.loads[0].mark_full(NOW);
     assert_ne!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].made_room();
+    pool.loads[0].clear_full();
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].turned_away(NOW - Millis(5_000));
+    pool.loads[0].mark_full(NOW - Millis(5_000));
     assert_eq!(pool.choose(URGENT, 1).key, best);
     for load in &mut pool.loads {
-        load.turned_away(NOW);
+        load.mark_full(NOW);
     }
     assert_eq!(pool.choose(URGENT, 1).key, best);
     assert!(!pool.choose(LATER, 1).has_room);
