--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -62,7 +62,7 @@
                 link_mbps: 740_000,
             }),
         }),
-        delicate: 44,
+        pause_sensitivity: 44,
         pause: Millis(200),
         blind: Millis(75),
         room: RoomFor::default(),
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -157,7 +157,7 @@
         band: demand.band,
         unread: u32::try_from(unread).unwrap_or(u32::MAX),
         held: u32::try_from(prompt + demand.output_tokens).unwrap_or(u32::MAX),
-        delicate: demand.delicate,
+        pause_sensitivity: demand.pause_sensitivity,
     };
     Choice {
         key: candidate.key,
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -28,7 +28,7 @@
     pub engine: Option<EngineShape>,
     /// How much the answer suffers when prompts are read beside it, in hundredths: 100 for the
     /// stream with the tightest pauses.
-    pub delicate: u32,
+    pub pause_sensitivity: u32,
     /// Tightest pause among the pool's streams; 0 where there are none.
     pub pause: Millis,
     /// How long other entries' choices stay unseen here; 0 where there are none.
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -129,7 +129,7 @@
             target: self.route().target,
             zone,
             engine,
-            delicate: self.catalog.delicacy(self.route(), &self.pool),
+            pause_sensitivity: self.catalog.delicacy(self.route(), &self.pool),
             pause: self.catalog.tightest_pause(&self.pool),
             blind: self.entry.peers.borrow().blind(now),
             room: self.room(now),
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -29,7 +29,7 @@
 /// The endpoints of a pool that are kept for delicate streams; empty where nothing is to be parted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Lanes {
-    delicate: HashSet<EndpointKey>,
+    reserved: HashSet<EndpointKey>,
 }
 
 impl Lanes {
@@ -52,13 +52,13 @@
         let kept = needs.share() * well.len() as f64;
         let kept = (kept.round() as usize).clamp(1, well.len() - 1);
         Self {
-            delicate: well[..kept].iter().map(|candidate| candidate.key).collect(),
+            reserved: well[..kept].iter().map(|candidate| candidate.key).collect(),
         }
     }
 
     /// Whether an endpoint is kept for delicate streams.
     pub fn is_delicate(&self, key: EndpointKey) -> bool {
-        self.delicate.contains(&key)
+        self.reserved.contains(&key)
     }
 }
 
@@ -75,7 +75,7 @@
         for seen in all {
             let work = &seen.total;
             let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-            needs.writing += load::stream_equivalents(work.delicate) / (slots * STREAMS_PART);
+            needs.writing += load::stream_equivalents(work.pause_sensitivity) / (slots * STREAMS_PART);
             needs.reading += work.prefill_tokens_per_ms() / (prefill_tokens_per_ms * READING_PART);
         }
         needs
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -54,7 +54,8 @@
     pub held: u32,
     /// Streams that suffer when prompts are read beside them, in hundredths: each counts by how
     /// tight its pauses are.
-    pub delicate: u32,
+    #[serde(rename = "delicate")]
+    pub pause_sensitivity: u32,
     /// Prompt tokens of coarse requests sent lately; half of them is forgotten after
     /// [`PRESSURE_HALF_LIFE_MS`].
     pub pressure: u32,
@@ -93,7 +94,7 @@
             running: self.running.saturating_add(other.running),
             unread,
             held: self.held.saturating_add(other.held),
-            delicate: self.delicate.saturating_add(other.delicate),
+            pause_sensitivity: self.pause_sensitivity.saturating_add(other.pause_sensitivity),
             pressure: self.pressure.saturating_add(other.pressure),
         }
     }
@@ -129,7 +130,7 @@
     /// Tokens of memory.
     pub held: u32,
     /// How much the stream suffers when prompts are read beside it, in hundredths.
-    pub delicate: u32,
+    pub pause_sensitivity: u32,
 }
 
 /// What an endpoint told of itself in an answer.
@@ -169,8 +170,8 @@
         let unread = &mut self.own.unread[footprint.band];
         *unread = unread.saturating_add(footprint.unread);
         self.own.held = self.own.held.saturating_add(footprint.held);
-        self.own.delicate += footprint.delicate;
-        let coarse = 1.0 - stream_equivalents(footprint.delicate.min(FULL_STREAM));
+        self.own.pause_sensitivity += footprint.pause_sensitivity;
+        let coarse = 1.0 - stream_equivalents(footprint.pause_sensitivity.min(FULL_STREAM));
         self.pressure = self.pressure_now(now) + f64::from(footprint.unread) * coarse;
         self.pressure_at = now;
     }
@@ -185,7 +186,7 @@
     pub fn end(&mut self, footprint: Footprint) {
         self.own.running = self.own.running.saturating_sub(1);
         self.own.held = self.own.held.saturating_sub(footprint.held);
-        self.own.delicate = self.own.delicate.saturating_sub(footprint.delicate);
+        self.own.pause_sensitivity = self.own.pause_sensitivity.saturating_sub(footprint.pause_sensitivity);
     }
 
     /// Work there was told; it counts for `lasts` unless it is told anew.
--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -31,7 +31,7 @@
             running: work.running,
             unread: work.unread.map(|tokens| tokens.div_ceil(UNREAD_BLOCK)),
             held: work.held.div_ceil(HELD_BLOCK),
-            delicate: work.delicate.div_ceil(DELICATE_BLOCK),
+            delicate: work.pause_sensitivity.div_ceil(DELICATE_BLOCK),
             pressure: work.pressure.div_ceil(UNREAD_BLOCK),
         }
     }
@@ -43,7 +43,7 @@
                 .unread
                 .map(|blocks| blocks.saturating_mul(UNREAD_BLOCK)),
             held: self.held.saturating_mul(HELD_BLOCK),
-            delicate: self.delicate.saturating_mul(DELICATE_BLOCK),
+            pause_sensitivity: self.delicate.saturating_mul(DELICATE_BLOCK),
             pressure: self.pressure.saturating_mul(UNREAD_BLOCK),
         };
         (u32::from_be_bytes(self.endpoint), work)
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -104,7 +104,7 @@
     let first_read = seen.first_read.unwrap_or_default();
     let spared = supply.spared() + first_read;
     let again = demand.shared_tokens().saturating_sub(spared);
-    let own = stream_equivalents(demand.delicate.min(FULL_STREAM));
+    let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
     let coarse = match seen.first_read {
         Some(_) => READ_AGAIN_HOME,
         None => READ_AGAIN,
@@ -133,7 +133,7 @@
     if demand.pause == Millis(0) {
         return 0.0;
     }
-    let own = stream_equivalents(demand.delicate.min(FULL_STREAM));
+    let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
     let unfit = if seen.is_kept { 1.0 - own } else { own };
     unfit * OTHER_LANE_MS
 }
@@ -220,8 +220,8 @@
 /// other, which parts the engines between them as far as the load allows.
 fn beside_ms(demand: &Demand<'_>, seen: &Seen<'_>, unread: u64) -> f64 {
     let total = seen.total;
-    let own = stream_equivalents(demand.delicate);
-    let others = stream_equivalents(total.delicate);
+    let own = stream_equivalents(demand.pause_sensitivity);
+    let others = stream_equivalents(total.pause_sensitivity);
     let read = read_ms(unread as f64);
     let queued = read_ms(f64::from(total.total_unread()));
     let beyond = (queued + read - demand.pause.0 as f64 * PAUSE_PART).clamp(0.0, read);
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -197,7 +197,7 @@
         running: 2,
         unread: [0, 2_000, 7_000],
         held: 12_000,
-        delicate: 150,
+        pause_sensitivity: 150,
         pressure: 30_000,
     };
     let (endpoints, prompts) = match covers {
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -67,7 +67,7 @@
         target: Millis(1_200),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 6,
+        pause_sensitivity: 6,
         pause: Millis(250),
         blind: Millis(0),
         room: RoomFor::default(),
@@ -87,12 +87,12 @@
     parts.iter().map(|part| part.id)
 }
 
-fn footprint(unread: u32, delicate: u32) -> Footprint {
+fn footprint(unread: u32, pause_sensitivity: u32) -> Footprint {
     Footprint {
         band: 2,
         unread,
         held: unread + 100,
-        delicate,
+        pause_sensitivity,
     }
 }
 
@@ -157,7 +157,7 @@
     let short = [part(2, 500)];
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&short)
     };
     let place = |pool: &mut Pool, demand: Demand<'_>| {
@@ -189,7 +189,7 @@
     }
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&parts)
     };
     assert_ne!(pool.choose(urgent).key, pool.key(1));
@@ -226,7 +226,7 @@
     }
     let plain = Demand {
         engine: None,
-        delicate: 0,
+        pause_sensitivity: 0,
         ..demand(&[])
     };
     assert_eq!(pool.choose(plain).key, pool.key(2));
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -86,7 +86,7 @@
         target: Millis(1_500),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 7,
+        pause_sensitivity: 7,
         pause: Millis(400),
         blind,
         room: RoomFor::default(),
@@ -99,7 +99,7 @@
         band: 0,
         output_tokens: 280,
         target: Millis(400),
-        delicate: 100,
+        pause_sensitivity: 100,
         ..coarse(parts, draw, blind)
     }
 }
@@ -144,7 +144,7 @@
         band: 0,
         unread: 160_000,
         held: 100_000,
-        delicate: 0,
+        pause_sensitivity: 0,
     };
     entry.loads[home].begin(queued, NOW);
     assert_ne!(entry.place(coarse(&parts, 1, Millis(0)), NOW).0, home);
@@ -191,7 +191,7 @@
                 band: 2,
                 unread: 3_000,
                 held: 9_000,
-                delicate: 7,
+                pause_sensitivity: 7,
             };
             entry.loads[i].begin(reading, NOW);
             entry.loads[i].read(reading);
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -103,7 +103,7 @@
         target: Millis(300),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 100,
+        pause_sensitivity: 100,
         pause: Millis(250),
         blind: Millis(300),
         room: RoomFor::default(),
@@ -116,7 +116,7 @@
         band: 0,
         unread: 500,
         held: 800,
-        delicate: 100,
+        pause_sensitivity: 100,
     }
 }
 
@@ -125,7 +125,7 @@
         band: 2,
         unread: 9_000,
         held: 9_100,
-        delicate: 0,
+        pause_sensitivity: 0,
     }
 }
 
@@ -208,10 +208,10 @@
     for draw in 0..400 {
         let i = pool.choose(urgent(&parts, draw));
         pool.begin(i, stream());
-        let running = pool.loads[i].total(NOW).delicate / 100;
+        let running = pool.loads[i].total(NOW).pause_sensitivity / 100;
         assert!(running < 64, "{running} streams at one endpoint");
     }
-    let all_take = pool.loads.iter().all(|load| load.total(NOW).delicate > 0);
+    let all_take = pool.loads.iter().all(|load| load.total(NOW).pause_sensitivity > 0);
     assert!(all_take, "some endpoint takes none");
 }
 
@@ -228,7 +228,7 @@
         let demand = Demand {
             band: 2,
             output_tokens: 50,
-            delicate: 6,
+            pause_sensitivity: 6,
             ..urgent(&parts, draw)
         };
         chosen[pool.choose(demand)] += 1;
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -74,7 +74,7 @@
                 memory_tokens: 290_000,
                 moves: self.moves,
             }),
-            delicate: 44,
+            pause_sensitivity: 44,
             pause: Millis(200),
             blind: Millis(0),
             room: self.room,
@@ -101,7 +101,7 @@
         band: 2,
         unread,
         held: unread,
-        delicate: 44,
+        pause_sensitivity: 44,
     }
 }
 
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -305,7 +305,7 @@
         running: 12,
         unread: [300, 2_000, 9_000],
         held: 40_000,
-        delicate: 900,
+        pause_sensitivity: 900,
         pressure: 30_000,
     };
     sent.others = (0..16).map(address).collect();
@@ -335,7 +335,7 @@
         running: 3,
         unread: [1, 64, 65],
         held: 257,
-        delicate: 100,
+        pause_sensitivity: 100,
         pressure: u32::MAX,
     };
     sent.work = vec![(7, work), (u32::MAX, EndpointWork::default())];
@@ -343,7 +343,7 @@
     let (endpoint, rounded) = heard.work[0];
     assert_eq!((endpoint, rounded.running), (7, 3));
     assert_eq!((rounded.unread, rounded.held), ([64, 64, 128], 512));
-    assert_eq!((rounded.delicate, rounded.pressure), (100, u32::MAX));
+    assert_eq!((rounded.pause_sensitivity, rounded.pressure), (100, u32::MAX));
     assert_eq!(heard.work[1], (u32::MAX, EndpointWork::default()));
 }
 
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -119,7 +119,7 @@
         target: TARGET,
         zone: "hall-a",
         engine: None,
-        delicate: 0,
+        pause_sensitivity: 0,
         pause: Millis(0),
         blind: Millis(150),
         room: RoomFor::default(),
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -14,7 +14,7 @@
     band: 0,
     unread: 1_000,
     held: 1_000,
-    delicate: 0,
+    pause_sensitivity: 0,
 };
 
 fn life(id: &str, born: u64, revision: u64) -> Listed {
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -25,7 +25,7 @@
     band: 1,
     unread: 0,
     held: 1_000,
-    delicate: 0,
+    pause_sensitivity: 0,
 };
 const IDS: [&str; 4] = ["a", "b", "c", "d"];
 /// Slots of an endpoint as the tests list it.
@@ -92,7 +92,7 @@
             target: Millis(600),
             zone: "hall-a",
             engine: Some(ENGINE),
-            delicate: 0,
+            pause_sensitivity: 0,
             pause: Millis(0),
             blind: Millis(0),
             room,
