--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -6,7 +6,7 @@
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, Listed};
-use violetline::direct::health::Record;
+use violetline::direct::health::HealthRecord;
 use violetline::direct::load::EndpointLoad;
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
@@ -42,7 +42,7 @@
     for (key, _) in directory.iter().step_by(3) {
         prefixes.note(key, [1, 2].into_iter(), NOW, NOW);
     }
-    let (load, record) = (EndpointLoad::default(), Record::default());
+    let (load, record) = (EndpointLoad::default(), HealthRecord::default());
     let tokens = [2_500, 3_800, 2_900];
     let parts: Vec<Part> = (1..)
         .zip(tokens)
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -121,7 +121,7 @@
     let weight = |seen: &&mut Seen<'_>| demand.home_weight(seen.candidate.endpoint.digest);
     let well = all
         .iter_mut()
-        .filter(|seen| !seen.candidate.record.is_aside());
+        .filter(|seen| !seen.candidate.record.is_ejected());
     if let Some(home) = well.max_by_key(weight) {
         let known = most_known.unwrap_or_default();
         home.first_read = Some(demand.shared_tokens().saturating_sub(known));
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -5,7 +5,7 @@
 use crate::clock::Millis;
 use crate::direct::catalog::EngineShape;
 use crate::direct::directory::{Endpoint, EndpointKey};
-use crate::direct::health::Record;
+use crate::direct::health::HealthRecord;
 use crate::direct::load::{EndpointLoad, EndpointWork};
 use crate::direct::prefix::Part;
 use crate::direct::room::RoomFor;
@@ -87,7 +87,7 @@
     /// Its load.
     pub load: &'a EndpointLoad,
     /// Its record.
-    pub record: &'a Record,
+    pub record: &'a HealthRecord,
     /// Whether it is taken to warm up.
     pub warming: bool,
     /// Whether it has named a limit.
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -11,7 +11,7 @@
 use crate::direct::decision::Decision;
 use crate::direct::directory::{Endpoint, EndpointKey, Standing};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
-use crate::direct::health::{Fault, Record};
+use crate::direct::health::{Fault, HealthRecord};
 use crate::direct::load::{Footprint, EndpointLoad};
 use crate::direct::turnover::Turnover;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
@@ -38,7 +38,7 @@
     /// Its load.
     pub load: EndpointLoad,
     /// Its record.
-    pub record: Record,
+    pub record: HealthRecord,
     /// When anything last came from it.
     pub heard: Millis,
     /// Requests that were sent to it lately.
@@ -158,7 +158,7 @@
     /// An endpoint failed a request.
     pub fn endpoint_failed(&self, key: EndpointKey, fault: Fault, why: &str) {
         let now = self.clock.now();
-        if fault == Fault::Contact {
+        if fault == Fault::Unreachable {
             // It may have started again, and its entry in the list is from before.
             self.directory.borrow_mut().doubt(key, now);
         }
@@ -173,9 +173,9 @@
     pub fn endpoint_served(&self, key: EndpointKey) {
         let mut taken_back = false;
         self.account(key, |account| {
-            let was_aside = account.record.is_aside();
+            let was_aside = account.record.is_ejected();
             account.record.succeeded();
-            taken_back = was_aside && !account.record.is_aside();
+            taken_back = was_aside && !account.record.is_ejected();
         });
         if taken_back {
             self.log_health(key, false, "served a request");
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -24,7 +24,7 @@
             endpoint.clone_from(&account.id);
             if let Some(rest) = announcement.rest {
                 let until = now + rest.min(longest);
-                account.record.asked_for_rest(now, until);
+                account.record.requested_backoff(now, until);
             }
         });
         if announcement.leaves && !before.leaves {
--- a/src/direct/health.rs
+++ b/src/direct/health.rs
@@ -40,12 +40,12 @@
     /// It answered with an error, or broke its answer off.
     Answer,
     /// It could not be reached, or is silent.
-    Contact,
+    Unreachable,
 }
 
 /// The record of one endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Record {
+pub struct HealthRecord {
     /// Mean share of failures, 0 to 1.
     failing: f64,
     /// Failures since the last success.
@@ -59,7 +59,7 @@
     slowness_at: Millis,
 }
 
-impl Default for Record {
+impl Default for HealthRecord {
     fn default() -> Self {
         Self {
             failing: 0.0,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Record {
+impl HealthRecord {
     /// How the endpoint may be used at `now`.
     pub fn grade(&self, now: Millis) -> Grade {
         match self.aside_until {
@@ -83,7 +83,7 @@
     }
 
     /// Whether the endpoint is set aside, also while it is due for a trial.
-    pub fn is_aside(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.aside_until.is_some()
     }
 
@@ -102,7 +102,7 @@
         self.failing += (1.0 - self.failing) * FAILURE_WEIGHT;
         self.in_a_row += match fault {
             Fault::Answer => 1,
-            Fault::Contact => FAILURES_IN_A_ROW,
+            Fault::Unreachable => FAILURES_IN_A_ROW,
         };
         let was_aside = self.aside_until.is_some();
         if !was_aside && self.failing < FAILING && self.in_a_row < FAILURES_IN_A_ROW {
@@ -118,7 +118,7 @@
     /// The endpoint asked for rest until a time. It is well, but whether it takes requests again then is found out with one,
     /// not with all that come first: it has nothing to do by that time, and so looks like the best. One that asks
     /// again at its trial is left for longer each time.
-    pub fn asked_for_rest(&mut self, now: Millis, until: Millis) {
+    pub fn requested_backoff(&mut self, now: Millis, until: Millis) {
         let mut aside_until = until;
         if self.grade(now) == Grade::Trial {
             self.aside = Millis(self.aside.0 * 2).min(ASIDE_MOST);
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -90,7 +90,7 @@
         let why = "another endpoint has its address";
         self.attempts -= 1;
         self.entry.endpoint_ended(key, EndSign::Replaced);
-        self.entry.endpoint_failed(key, Fault::Contact, why);
+        self.entry.endpoint_failed(key, Fault::Unreachable, why);
         self.log_failed(key, why, false);
         Attempt::NotRun(key)
     }
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -44,7 +44,7 @@
         }
         let Some(channel) = self.open(key).await else {
             self.entry
-                .endpoint_failed(key, Fault::Contact, "no connection");
+                .endpoint_failed(key, Fault::Unreachable, "no connection");
             return Attempt::NotSent(key);
         };
         // Nothing is awaited between here and the first byte that leaves.
@@ -230,7 +230,7 @@
             return Ok(reply);
         }
         if !self.was_heard(key, sent_at) && silent_at < last_word {
-            self.entry.endpoint_failed(key, Fault::Contact, "silent");
+            self.entry.endpoint_failed(key, Fault::Unreachable, "silent");
             if self.may_repeat() && self.has_attempts() {
                 self.log_failed(key, "silent", true);
                 return Err(Attempt::Lost(key));
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -39,7 +39,7 @@
         let mut well: Vec<&Candidate<'_>> = all
             .iter()
             .map(|seen| &seen.candidate)
-            .filter(|candidate| !candidate.record.is_aside())
+            .filter(|candidate| !candidate.record.is_ejected())
             .collect();
         if well.len() < 2 {
             return Self::default();
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -8,7 +8,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
-use violetline::direct::health::{Fault, Grade, Record};
+use violetline::direct::health::{Fault, Grade, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad, EndpointReport};
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
@@ -24,7 +24,7 @@
 struct Pool {
     directory: Directory,
     loads: Vec<EndpointLoad>,
-    records: Vec<Record>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -37,7 +37,7 @@
         Self {
             directory,
             loads: (0..3).map(|_| EndpointLoad::default()).collect(),
-            records: vec![Record::default(); 3],
+            records: vec![HealthRecord::default(); 3],
             prefixes: PrefixMap::default(),
         }
     }
@@ -199,7 +199,7 @@
 fn failing_avoided() {
     let mut pool = Pool::new();
     for i in [0, 1] {
-        pool.records[i].failed(NOW, Fault::Contact);
+        pool.records[i].failed(NOW, Fault::Unreachable);
     }
     let choice = pool.choose(demand(&[part(1, 500)]));
     assert_eq!((choice.key, choice.grade), (pool.key(2), Grade::Good));
@@ -209,7 +209,7 @@
 fn all_failing_used() {
     let mut pool = Pool::new();
     for record in &mut pool.records {
-        record.failed(NOW, Fault::Contact);
+        record.failed(NOW, Fault::Unreachable);
     }
     assert_eq!(pool.choose(demand(&[])).grade, Grade::Poor);
 }
--- a/tests/direct_health.rs
+++ b/tests/direct_health.rs
@@ -1,11 +1,11 @@
 //! Health of endpoints by real work.
 
 use violetline::clock::Millis;
-use violetline::direct::health::{Fault, Grade, Record};
+use violetline::direct::health::{Fault, Grade, HealthRecord};
 
 #[test]
 fn three_failures() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     assert!(!record.failed(Millis(0), Fault::Answer));
     assert!(!record.failed(Millis(0), Fault::Answer));
     assert!(record.failed(Millis(0), Fault::Answer));
@@ -15,40 +15,40 @@
 
 #[test]
 fn unreachable_at_once() {
-    let mut record = Record::default();
-    assert!(record.failed(Millis(0), Fault::Contact));
-    assert!(record.is_aside());
+    let mut record = HealthRecord::default();
+    assert!(record.failed(Millis(0), Fault::Unreachable));
+    assert!(record.is_ejected());
 }
 
 #[test]
 fn half_failing() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     for _ in 0..20 {
         record.failed(Millis(0), Fault::Answer);
         record.succeeded();
     }
     record.failed(Millis(0), Fault::Answer);
-    assert!(record.is_aside());
+    assert!(record.is_ejected());
 }
 
 /// A share of failures that is usual for a service does not set its endpoints aside for good.
 #[test]
 fn seldom_failing() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     for i in 0..70 {
         if i % 7 == 0 {
             record.failed(Millis(0), Fault::Answer);
         } else {
             record.succeeded();
         }
-        assert!(!record.is_aside());
+        assert!(!record.is_ejected());
     }
 }
 
 #[test]
 fn trials_grow_apart() {
-    let mut record = Record::default();
-    record.failed(Millis(0), Fault::Contact);
+    let mut record = HealthRecord::default();
+    record.failed(Millis(0), Fault::Unreachable);
     record.failed(Millis(700), Fault::Answer);
     assert_eq!(record.grade(Millis(2_000)), Grade::Poor);
     assert_eq!(record.grade(Millis(2_100)), Grade::Trial);
@@ -60,7 +60,7 @@
 
 #[test]
 fn slowness_forgotten() {
-    let mut record = Record::default();
+    let mut record = HealthRecord::default();
     for _ in 0..30 {
         record.began(Millis(1_000), Millis(500), 100.0);
     }
@@ -72,8 +72,8 @@
 /// After its time of rest an endpoint is tried with one request; one that asks again at each trial is left for longer.
 #[test]
 fn tried_after_rest() {
-    let mut record = Record::default();
-    record.asked_for_rest(Millis(0), Millis(3_000));
+    let mut record = HealthRecord::default();
+    record.requested_backoff(Millis(0), Millis(3_000));
     assert_eq!(record.grade(Millis(2_999)), Grade::Poor);
     assert_eq!(record.grade(Millis(3_000)), Grade::Trial);
     record.succeeded();
@@ -81,7 +81,7 @@
     let mut now = Millis(10_000);
     let mut last = Millis(0);
     for _ in 0..6 {
-        record.asked_for_rest(now, now + Millis(100));
+        record.requested_backoff(now, now + Millis(100));
         let trial = (now.0..).find(|at| record.grade(Millis(*at)) == Grade::Trial);
         let aside = Millis(trial.unwrap()) - now;
         assert!(aside >= last && aside >= Millis(100), "{aside:?}");
@@ -93,8 +93,8 @@
 /// A rest that ends sooner, asked for by an answer that was under way, does not end an earlier one.
 #[test]
 fn later_rest_counts() {
-    let mut record = Record::default();
-    record.asked_for_rest(Millis(0), Millis(3_000));
-    record.asked_for_rest(Millis(50), Millis(1_000));
+    let mut record = HealthRecord::default();
+    record.requested_backoff(Millis(0), Millis(3_000));
+    record.requested_backoff(Millis(50), Millis(1_000));
     assert_eq!(record.grade(Millis(2_999)), Grade::Poor);
 }
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -11,7 +11,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::{Fault, Record};
+use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{Part, PrefixMap};
@@ -29,7 +29,7 @@
     directory: Directory,
     keys: Vec<EndpointKey>,
     loads: Vec<EndpointLoad>,
-    records: Vec<Record>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -44,7 +44,7 @@
             keys: ids.iter().filter_map(|id| directory.key(id)).collect(),
             directory,
             loads: (0..endpoints).map(|_| EndpointLoad::default()).collect(),
-            records: vec![Record::default(); endpoints],
+            records: vec![HealthRecord::default(); endpoints],
             prefixes: PrefixMap::default(),
         }
     }
@@ -127,7 +127,7 @@
     let home = Entry::new(12).place(coarse(&parts, 1, Millis(0)), NOW).0;
     let place = |draw| {
         let mut entry = Entry::new(12);
-        entry.records[home].failed(NOW, Fault::Contact);
+        entry.records[home].failed(NOW, Fault::Unreachable);
         entry.place(coarse(&parts, draw, Millis(0)), NOW).0
     };
     assert_ne!(place(1), home);
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -8,7 +8,7 @@
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand, Seen};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
-use violetline::direct::health::{Fault, Record};
+use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::lanes::Lanes;
 use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{Part, PrefixMap};
@@ -28,7 +28,7 @@
     directory: Directory,
     keys: Vec<EndpointKey>,
     loads: Vec<EndpointLoad>,
-    records: Vec<Record>,
+    records: Vec<HealthRecord>,
 }
 
 impl Pool {
@@ -46,7 +46,7 @@
             keys: (0..count).map(key).collect(),
             directory,
             loads: (0..count).map(|_| EndpointLoad::default()).collect(),
-            records: vec![Record::default(); count],
+            records: vec![HealthRecord::default(); count],
         }
     }
 
@@ -189,7 +189,7 @@
     for _ in 0..2 {
         let kept = pool.kept();
         assert_eq!(kept.len(), 1);
-        pool.records[kept[0]].failed(NOW, Fault::Contact);
+        pool.records[kept[0]].failed(NOW, Fault::Unreachable);
         assert_ne!(pool.kept(), kept);
     }
     assert!(Pool::new(1).kept().is_empty());
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -8,7 +8,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::{Fault, Record};
+use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{Part, PrefixMap};
 use violetline::direct::room::RoomFor;
@@ -30,7 +30,7 @@
 struct Pool {
     directory: Directory,
     loads: [EndpointLoad; 3],
-    records: [Record; 3],
+    records: [HealthRecord; 3],
     prefixes: PrefixMap,
     moves: Option<MoveShape>,
     room: RoomFor,
@@ -131,7 +131,7 @@
 #[test]
 fn failing_gives_nothing() {
     let mut pool = Pool::new();
-    pool.records[0].failed(NOW, Fault::Contact);
+    pool.records[0].failed(NOW, Fault::Unreachable);
     assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
 }
 
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -14,7 +14,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::Record;
+use violetline::direct::health::HealthRecord;
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{Part, PrefixMap};
@@ -189,7 +189,7 @@
 /// One entry's knowledge.
 struct Entry {
     loads: Vec<EndpointLoad>,
-    records: Vec<Record>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -218,7 +218,7 @@
         let keys = ids.iter().map(|id| directory.key(id).unwrap()).collect();
         let entry = || Entry {
             loads: (0..ENGINES).map(|_| EndpointLoad::default()).collect(),
-            records: vec![Record::default(); ENGINES],
+            records: vec![HealthRecord::default(); ENGINES],
             prefixes: PrefixMap::default(),
         };
         Self {
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -12,7 +12,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, Listed};
-use violetline::direct::health::Record;
+use violetline::direct::health::HealthRecord;
 use violetline::direct::load::{EndpointLoad, EndpointReport};
 use violetline::direct::prefix::PrefixMap;
 use violetline::direct::room::RoomFor;
@@ -46,7 +46,7 @@
     directory.apply(Change::Put(only), Millis(0));
     let key = directory.key("a").unwrap();
     let mut loads: Vec<EndpointLoad> = (0..ENTRIES).map(|_| EndpointLoad::default()).collect();
-    let mut records = vec![Record::default(); ENTRIES];
+    let mut records = vec![HealthRecord::default(); ENTRIES];
     let mut calls: VecDeque<Call> = VecDeque::new();
     let (mut in_time, mut late) = (0, 0);
     for now in 0..20_000 {
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -92,7 +92,7 @@
     entry.take_listing(vec![life("a", 100, 1)], 1);
     let before = key(&entry.directory());
     let placed = entry.place(before, "pool", FOOTPRINT, Fingerprint(1));
-    entry.endpoint_failed(before, Fault::Contact, "test");
+    entry.endpoint_failed(before, Fault::Unreachable, "test");
     let now = clock.now();
     let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
     let ids = parts.iter().map(|part| part.id);
@@ -102,7 +102,7 @@
     let accounts = entry.accounts();
     let account = accounts.get(after).unwrap();
     assert_eq!(account.load.own(now).running, 0);
-    assert!(!account.record.is_aside());
+    assert!(!account.record.is_ejected());
     let kept = entry.prefixes.borrow().kept(after, &parts, Millis(0), now);
     assert_eq!(kept.sent, 0);
     assert!(accounts.get(before).is_none());
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -8,7 +8,7 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::Record;
+use violetline::direct::health::HealthRecord;
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource, EndpointWork};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::PrefixMap;
@@ -76,7 +76,7 @@
     }
 
     fn choose(&self, room: RoomFor, draw: u64) -> Choice {
-        let record = Record::default();
+        let record = HealthRecord::default();
         let candidates = (0..IDS.len()).map(|i| Candidate {
             key: self.key(i),
             endpoint: self.directory.get(self.key(i)).unwrap(),
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -120,7 +120,7 @@
     assert!(is_warming());
     clock.advance(Millis(1_501));
     assert!(!is_warming(), "its time is over, whatever the list says");
-    entry.endpoint_failed(key, Fault::Contact, "no connection");
+    entry.endpoint_failed(key, Fault::Unreachable, "no connection");
     assert!(is_warming(), "it may have started again");
     entry.take_changes(vec![Change::Put(listed("a", 2))], 2);
     clock.advance(Millis(1_500));
