--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -8,7 +8,7 @@
 use violetline::direct::directory::{Change, Directory, Listed};
 use violetline::direct::health::HealthRecord;
 use violetline::direct::load::EndpointLoad;
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 
 const NOW: Millis = Millis(10_000);
@@ -44,9 +44,9 @@
     }
     let (load, record) = (EndpointLoad::default(), HealthRecord::default());
     let tokens = [2_500, 3_800, 2_900];
-    let parts: Vec<Part> = (1..)
+    let parts: Vec<PromptSegment> = (1..)
         .zip(tokens)
-        .map(|(id, tokens)| Part { id, tokens })
+        .map(|(id, tokens)| PromptSegment { id, tokens })
         .collect();
     let demand = Demand {
         band: 1,
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -7,7 +7,7 @@
 use crate::direct::health::Grade;
 use crate::direct::lanes::Lanes;
 use crate::direct::load::{Footprint, EndpointWork, BANDS};
-use crate::direct::moves::{Sources, Supply};
+use crate::direct::moves::{Sources, PrefixReuse};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::price::{self, READ_TOKENS_PER_MS};
 use crate::direct::room::PoolRoom;
@@ -30,7 +30,7 @@
     /// Grade of the endpoint's record.
     pub grade: Grade,
     /// Where the prompt's tokens come from.
-    pub supply: Supply,
+    pub reuse: PrefixReuse,
     /// Mean time that the candidates need to read the prompts that they have, in ms.
     pub backlog_ms: f64,
     /// Whether all slots of the endpoint are taken.
@@ -63,19 +63,19 @@
     let mut best: Option<(Rank, Choice)> = None;
     let sources = Sources::find(&demand, &all, now);
     for seen in &all {
-        let kept = Supply::kept(seen.known);
-        let moved = sources.supply(seen);
+        let cached = PrefixReuse::cached(seen.known);
+        let moved = sources.reuse(seen);
         let has_room = has_room(&demand, seen, &room, now);
         let lot = match has_room && room.is_crowded() && demand.engine.is_some() {
             true => room.lot(seen, demand.lot_draw(seen.candidate.endpoint.digest)),
             false => 0.0,
         };
-        for supply in std::iter::once(kept).chain(moved) {
+        for reuse in std::iter::once(cached).chain(moved) {
             let choice = Choice {
                 has_room,
-                ..estimate(&demand, seen, supply, now)
+                ..estimate(&demand, seen, reuse, now)
             };
-            let price = price::price_ms(&demand, seen, &supply, now);
+            let price = price::price_ms(&demand, seen, &reuse, now);
             let grade = usable_grade(choice.grade, &seen.candidate, now);
             let rank = (grade, !has_room, lot, price);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
@@ -100,10 +100,10 @@
 ) -> Seen<'a> {
     let total = candidate.load.total(now);
     let kept_since = kept_since(demand, total, now);
-    let kept = prefixes.kept(candidate.key, demand.parts, kept_since, now);
+    let cached = prefixes.cached(candidate.key, demand.parts, kept_since, now);
     Seen {
-        known: kept.sent,
-        ready: kept.read,
+        known: cached.sent,
+        ready: cached.read,
         candidate,
         total,
         is_kept: false,
@@ -149,10 +149,10 @@
 }
 
 /// The estimate for one endpoint, and what the request would add there.
-fn estimate(demand: &Demand<'_>, seen: &Seen<'_>, supply: Supply, now: Millis) -> Choice {
+fn estimate(demand: &Demand<'_>, seen: &Seen<'_>, reuse: PrefixReuse, now: Millis) -> Choice {
     let candidate = &seen.candidate;
     let prompt = demand.prompt_tokens();
-    let unread = prompt - supply.spared();
+    let unread = prompt - reuse.spared();
     let footprint = Footprint {
         band: demand.band,
         unread: u32::try_from(unread).unwrap_or(u32::MAX),
@@ -161,11 +161,11 @@
     };
     Choice {
         key: candidate.key,
-        expected_ms: price::expected_ms(demand, seen, &supply, now),
-        usual_ms: price::time_ms(demand, seen, &supply, now),
+        expected_ms: price::expected_ms(demand, seen, &reuse, now),
+        usual_ms: price::time_ms(demand, seen, &reuse, now),
         footprint,
         grade: candidate.record.grade(now),
-        supply,
+        reuse,
         backlog_ms: 0.0,
         has_room: true,
         sent_part: 1.0,
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -7,7 +7,7 @@
 use crate::direct::directory::{Endpoint, EndpointKey};
 use crate::direct::health::HealthRecord;
 use crate::direct::load::{EndpointLoad, EndpointWork};
-use crate::direct::prefix::Part;
+use crate::direct::prefix::PromptSegment;
 use crate::direct::room::RoomFor;
 use crate::spread::spread;
 
@@ -17,7 +17,7 @@
     /// Band of urgency.
     pub band: usize,
     /// Parts of the prompt; empty for plain services.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptSegment],
     /// Tokens that the answer may have.
     pub output_tokens: u64,
     /// Time within which the first event is in time.
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -13,7 +13,7 @@
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Listing, Revision};
 use crate::direct::load::EndpointReport;
-use crate::direct::prefix::Part;
+use crate::direct::prefix::PromptSegment;
 
 /// A caller's request, as far as decisions need it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// Path without query.
     pub path: String,
     /// Parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     /// Tokens that the answer may have, by the caller's own guess where it gives one.
     pub output_tokens: u64,
     /// Number of the last event that the caller has, when it takes up a stream.
--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -30,8 +30,8 @@
             attempt: self.attempts,
             priority: load::urgency_at_endpoint(self.route().priority, self.priority()),
             expected_ms: choice.expected_ms as u64,
-            cached: choice.supply.kept,
-            moved: choice.supply.moved,
+            cached: choice.reuse.cached,
+            moved: choice.reuse.moved,
             moved_from: self.source_id(choice),
             unread: choice.footprint.unread,
             running,
@@ -51,7 +51,7 @@
     /// Identity of the endpoint that parts of the prompt are taken from.
     fn source_id(&self, choice: &Choice) -> Option<String> {
         let directory = self.entry.directory();
-        let source = directory.get(choice.supply.from?)?;
+        let source = directory.get(choice.reuse.from?)?;
         Some(source.listed.id.clone())
     }
 
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -174,7 +174,7 @@
         let copy = self.copy.filter(|key| directory.takes_work(*key, now));
         let copy = copy.and_then(|key| directory.get(key));
         let copy = copy.map(|e| e.listed.address);
-        let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
+        let fetch_from = choice.reuse.from.and_then(|key| directory.get(key));
         let fetch_from = fetch_from.map(|e| e.listed.address);
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let order = Order {
--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -18,27 +18,27 @@
 
 /// Where the tokens of a prompt come from at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Supply {
+pub struct PrefixReuse {
     /// Tokens that the endpoint is taken to keep.
-    pub kept: u64,
+    pub cached: u64,
     /// Tokens that are moved there.
     pub moved: u64,
     /// From where; `None` when nothing is moved.
     pub from: Option<EndpointKey>,
 }
 
-impl Supply {
+impl PrefixReuse {
     /// Nothing is moved.
-    pub fn kept(kept: u64) -> Self {
+    pub fn cached(cached: u64) -> Self {
         Self {
-            kept,
+            cached,
             ..Self::default()
         }
     }
 
     /// Tokens that need not be read.
     pub fn spared(&self) -> u64 {
-        self.kept + self.moved
+        self.cached + self.moved
     }
 
     /// Time that the move takes, in ms.
@@ -96,12 +96,12 @@
     }
 
     /// What `target` may take from another endpoint, if that is worth a move.
-    pub fn supply(&self, target: &Seen<'_>) -> Option<Supply> {
+    pub fn reuse(&self, target: &Seen<'_>) -> Option<PrefixReuse> {
         let is_other = |source: &Source| source.key != target.candidate.key;
         let source = self.best.filter(is_other).or(self.next)?;
         let moved = source.ready.saturating_sub(target.known);
-        (moved >= LEAST_TOKENS).then_some(Supply {
-            kept: target.known,
+        (moved >= LEAST_TOKENS).then_some(PrefixReuse {
+            cached: target.known,
             moved,
             from: Some(source.key),
         })
--- a/src/direct/prefix.rs
+++ b/src/direct/prefix.rs
@@ -14,7 +14,7 @@
 
 /// One part of a prompt; equal ids have equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct PromptSegment {
     /// Identity.
     pub id: u64,
     /// Length in tokens.
@@ -33,7 +33,7 @@
 
 /// Tokens at the head of a prompt that an endpoint keeps.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct CachedPrefix {
     /// Those that were sent there: it has read them, or will have before it reads what comes after.
     pub sent: u64,
     /// Those that it has read.
@@ -51,14 +51,14 @@
 impl PrefixMap {
     /// Tokens at the head of a prompt that need not be read at an endpoint which keeps unused parts
     /// since `kept_since`.
-    pub fn kept(
+    pub fn cached(
         &self,
         endpoint: EndpointKey,
-        parts: &[Part],
+        parts: &[PromptSegment],
         kept_since: Millis,
         now: Millis,
-    ) -> Kept {
-        let mut kept = Kept::default();
+    ) -> CachedPrefix {
+        let mut cached = CachedPrefix::default();
         let mut tokens = 0;
         // A part is only kept together with all before it, so the deepest one tells.
         for part in parts {
@@ -67,13 +67,13 @@
                 continue;
             };
             if last.at >= kept_since {
-                kept.sent = tokens;
+                cached.sent = tokens;
                 if last.read_at <= now {
-                    kept.read = tokens;
+                    cached.read = tokens;
                 }
             }
         }
-        kept
+        cached
     }
 
     fn last_use(&self, endpoint: EndpointKey, part: u64) -> Option<&Use> {
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -4,7 +4,7 @@
 use crate::clock::Millis;
 use crate::direct::demand::{Candidate, Demand, Seen};
 use crate::direct::load::{stream_equivalents, EndpointWork, BANDS, FULL_STREAM};
-use crate::direct::moves::Supply;
+use crate::direct::moves::PrefixReuse;
 
 /// Prompt tokens that an engine reads in a millisecond. Only the ratio to the other terms matters:
 /// the record corrects the rest per endpoint.
@@ -78,21 +78,21 @@
 const WARMING_MS: f64 = 60.0;
 
 /// Time until the first event, by estimate.
-pub fn expected_ms(demand: &Demand<'_>, seen: &Seen<'_>, supply: &Supply, now: Millis) -> f64 {
+pub fn expected_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
     let slowness = seen.candidate.record.slowness(now);
-    time_ms(demand, seen, supply, now) * slowness
+    time_ms(demand, seen, reuse, now) * slowness
 }
 
 /// Price of an endpoint: the time until the first event, and what the request costs others.
-pub fn price_ms(demand: &Demand<'_>, seen: &Seen<'_>, supply: &Supply, now: Millis) -> f64 {
-    let unread = demand.prompt_tokens() - supply.spared();
-    own_ms(demand, expected_ms(demand, seen, supply, now))
+pub fn price_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+    let unread = demand.prompt_tokens() - reuse.spared();
+    own_ms(demand, expected_ms(demand, seen, reuse, now))
         + full_ms(demand, seen)
         + memory_ms(demand, seen.total)
         + beside_ms(demand, seen, unread)
         + distance_ms(demand, &seen.candidate)
-        + again_ms(demand, seen, supply)
-        + supply.moved as f64 * MOVED_MS
+        + again_ms(demand, seen, reuse)
+        + reuse.moved as f64 * MOVED_MS
         + lane_ms(demand, seen)
         + spread_ms(demand, seen, unread)
 }
@@ -100,9 +100,9 @@
 /// Price of shared tokens that are read again: some other endpoint keeps them, or the home of those that
 /// nobody is known to keep. Entries that don't hear of each other's placements would have them read
 /// everywhere. At their home a copy more is worth its reading: all entries find it there.
-fn again_ms(demand: &Demand<'_>, seen: &Seen<'_>, supply: &Supply) -> f64 {
+fn again_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse) -> f64 {
     let first_read = seen.first_read.unwrap_or_default();
-    let spared = supply.spared() + first_read;
+    let spared = reuse.spared() + first_read;
     let again = demand.shared_tokens().saturating_sub(spared);
     let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
     let coarse = match seen.first_read {
@@ -164,16 +164,16 @@
 
 /// Time until the first event if the endpoint were as fast as estimated: reading what goes before
 /// and the request itself, a move, the batch, and what waits.
-pub fn time_ms(demand: &Demand<'_>, seen: &Seen<'_>, supply: &Supply, now: Millis) -> f64 {
+pub fn time_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
     let (candidate, total) = (&seen.candidate, seen.total);
-    let unread = demand.prompt_tokens() - supply.spared();
+    let unread = demand.prompt_tokens() - reuse.spared();
     if demand.engine.is_none() {
         return BASE_MS + plain_ms(seen, now);
     }
     let read = read_ms(tokens_before(demand, total) + unread as f64);
     let batch = f64::from(total.running) * BATCH_MS;
     let waiting = f64::from(candidate.load.waiting(now)) * WAITING_MS;
-    BASE_MS + read + supply.move_ms(demand) + batch + waiting
+    BASE_MS + read + reuse.move_ms(demand) + batch + waiting
 }
 
 /// Prompt tokens that are read before the request's own; less urgent ones count in part.
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -10,7 +10,7 @@
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, Grade, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad, EndpointReport};
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 
 const NOW: Millis = Millis(10_000);
@@ -59,7 +59,7 @@
     }
 }
 
-fn demand(parts: &[Part]) -> Demand<'_> {
+fn demand(parts: &[PromptSegment]) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -75,15 +75,15 @@
     }
 }
 
-fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+fn part(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
-fn prompt() -> [Part; 3] {
+fn prompt() -> [PromptSegment; 3] {
     [part(1, 2_500), part(2, 3_800), part(3, 2_900)]
 }
 
-fn ids(parts: &[Part]) -> impl Iterator<Item = u64> + '_ {
+fn ids(parts: &[PromptSegment]) -> impl Iterator<Item = u64> + '_ {
     parts.iter().map(|part| part.id)
 }
 
@@ -107,7 +107,7 @@
         pool.prefixes.note(key, ids(&other), NOW, NOW);
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.key, key);
-        assert_eq!(choice.supply.kept, 6_300);
+        assert_eq!(choice.reuse.cached, 6_300);
         assert_eq!(choice.footprint.unread, 2_900);
         pool.prefixes.forget(key);
     }
@@ -263,7 +263,7 @@
 #[test]
 fn huge_prompts() {
     let mut pool = Pool::new();
-    let parts: Vec<Part> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
+    let parts: Vec<PromptSegment> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
     for _ in 0..3 {
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.footprint.unread, u32::MAX);
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -14,7 +14,7 @@
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 
 const NOW: Millis = Millis(10_000);
@@ -69,8 +69,8 @@
 }
 
 /// A long prompt of a session: two shared parts, and one of its own.
-fn prompt(session: u64, request: u64) -> [Part; 3] {
-    let part = |id, tokens| Part { id, tokens };
+fn prompt(session: u64, request: u64) -> [PromptSegment; 3] {
+    let part = |id, tokens| PromptSegment { id, tokens };
     [
         part(1 + session % 4, 2_500),
         part(1_000 + session, 3_800),
@@ -78,7 +78,7 @@
     ]
 }
 
-fn coarse(parts: &[Part], draw: u64, blind: Millis) -> Demand<'_> {
+fn coarse(parts: &[PromptSegment], draw: u64, blind: Millis) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -94,7 +94,7 @@
     }
 }
 
-fn urgent(parts: &[Part], draw: u64, blind: Millis) -> Demand<'_> {
+fn urgent(parts: &[PromptSegment], draw: u64, blind: Millis) -> Demand<'_> {
     Demand {
         band: 0,
         output_tokens: 280,
@@ -202,11 +202,11 @@
     for n in 0..streams {
         let now = NOW + Millis(n * 3);
         let parts = [
-            Part {
+            PromptSegment {
                 id: 90_000 + n % 400,
                 tokens: 170,
             },
-            Part {
+            PromptSegment {
                 id: 95_000 + n,
                 tokens: 540,
             },
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -11,7 +11,7 @@
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::lanes::Lanes;
 use violetline::direct::load::{Footprint, EndpointLoad};
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 
 const NOW: Millis = Millis(10_000);
@@ -95,7 +95,7 @@
 }
 
 /// A stream with the tightest pauses, at an entry that does not see others' choices yet.
-fn urgent(parts: &[Part], draw: u64) -> Demand<'_> {
+fn urgent(parts: &[PromptSegment], draw: u64) -> Demand<'_> {
     Demand {
         band: 0,
         parts,
@@ -204,7 +204,7 @@
             pool.begin(i, long_prompt());
         }
     }
-    let parts = [Part { id: 1, tokens: 500 }];
+    let parts = [PromptSegment { id: 1, tokens: 500 }];
     for draw in 0..400 {
         let i = pool.choose(urgent(&parts, draw));
         pool.begin(i, stream());
@@ -219,7 +219,7 @@
 #[test]
 fn unseen_choices_part() {
     let pool = Pool::new(12);
-    let parts = [Part {
+    let parts = [PromptSegment {
         id: 1,
         tokens: 9_000,
     }];
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -10,7 +10,7 @@
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad};
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 use violetline::direct::turnover::Recent;
 
@@ -20,10 +20,10 @@
     token_bytes: 327_680,
     link_mbps: 740_000,
 };
-const SHARED: [Part; 2] = [part(1, 2_500), part(2, 3_800)];
+const SHARED: [PromptSegment; 2] = [part(1, 2_500), part(2, 3_800)];
 
-const fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+const fn part(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
 /// Endpoints a, b, c, of which a keeps the shared parts and has much to read.
@@ -62,7 +62,7 @@
         self.directory.key(id).unwrap()
     }
 
-    fn choose(&self, parts: &[Part]) -> Choice {
+    fn choose(&self, parts: &[PromptSegment]) -> Choice {
         let demand = Demand {
             band: 2,
             parts,
@@ -92,7 +92,7 @@
     }
 }
 
-fn ids(parts: &[Part]) -> impl Iterator<Item = u64> + '_ {
+fn ids(parts: &[PromptSegment]) -> impl Iterator<Item = u64> + '_ {
     parts.iter().map(|part| part.id)
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-fn prompt(own: u64) -> [Part; 3] {
+fn prompt(own: u64) -> [PromptSegment; 3] {
     [SHARED[0], SHARED[1], part(9, own)]
 }
 
@@ -114,8 +114,8 @@
     let pool = Pool::new();
     let choice = pool.choose(&prompt(2_900));
     assert_ne!(choice.key, pool.key("a"), "the keeper is busy");
-    assert_eq!(choice.supply.from, Some(pool.key("a")));
-    assert_eq!(choice.supply.moved, 6_300);
+    assert_eq!(choice.reuse.from, Some(pool.key("a")));
+    assert_eq!(choice.reuse.moved, 6_300);
     assert_eq!(choice.footprint.unread, 2_900);
 }
 
@@ -125,14 +125,14 @@
     pool.loads[0].read(footprint(60_000));
     let choice = pool.choose(&prompt(2_900));
     assert_eq!(choice.key, pool.key("a"));
-    assert_eq!((choice.supply.kept, choice.supply.from), (6_300, None));
+    assert_eq!((choice.reuse.cached, choice.reuse.from), (6_300, None));
 }
 
 #[test]
 fn failing_gives_nothing() {
     let mut pool = Pool::new();
     pool.records[0].failed(NOW, Fault::Unreachable);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
@@ -142,16 +142,16 @@
     pool.prefixes.forget(keeper);
     let later = NOW + Millis(300);
     pool.prefixes.note(keeper, ids(&SHARED), NOW, later);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
     pool.prefixes.read(keeper, ids(&SHARED), NOW);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.moved, 6_300);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.moved, 6_300);
 }
 
 #[test]
 fn pool_without_moves() {
     let mut pool = Pool::new();
     pool.moves = None;
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let keeper = pool.key("a");
     let short = [part(5, 100), part(6, 50)];
     pool.prefixes.note(keeper, ids(&short), NOW, NOW);
-    assert_eq!(pool.choose(&short).supply.from, None);
+    assert_eq!(pool.choose(&short).reuse.from, None);
 }
 
 /// Where entries draw lots, kept parts are moved to the endpoint that is drawn, as to one that is chosen by its price.
@@ -182,7 +182,7 @@
         let choice = pool.choose(&prompt(2_900));
         assert!(choice.sent_part < 1.0);
         if choice.key != keeper {
-            assert_eq!(choice.supply.moved, 6_300, "{choice:?}");
+            assert_eq!(choice.reuse.moved, 6_300, "{choice:?}");
             moved += 1;
         }
     }
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -17,7 +17,7 @@
 use violetline::direct::health::HealthRecord;
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{Part, PrefixMap};
+use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomFor;
 
 const STEP: Millis = Millis(5);
@@ -101,7 +101,7 @@
 #[derive(Clone)]
 struct Ask {
     class: usize,
-    parts: Vec<Part>,
+    parts: Vec<PromptSegment>,
     /// When the caller sent it first.
     first_sent: u64,
     /// When this try was sent.
@@ -123,7 +123,7 @@
 struct Engine {
     runs: Vec<Run>,
     /// Kept parts, the last used at the end.
-    kept: VecDeque<Part>,
+    kept: VecDeque<PromptSegment>,
     down_until: u64,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// Tokens that a prompt need not be read; marks its parts as used.
-    fn spare(&mut self, parts: &[Part]) -> u64 {
+    fn spare(&mut self, parts: &[PromptSegment]) -> u64 {
         let mut spared = 0;
         let mut whole = true;
         for part in parts {
@@ -304,7 +304,7 @@
         let parts = ids.iter().zip(of.parts);
         Ask {
             class,
-            parts: parts.map(|(id, tokens)| Part { id: *id, tokens }).collect(),
+            parts: parts.map(|(id, tokens)| PromptSegment { id: *id, tokens }).collect(),
             first_sent: now,
             sent: now,
         }
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -9,7 +9,7 @@
 use violetline::direct::catalog::{Catalog, Repeat, Shape};
 use violetline::direct::dialect::{Ask, Dialect, Order, Refusal, Unusable, Watched, Written};
 use violetline::direct::directory::Change;
-use violetline::direct::prefix::Part;
+use violetline::direct::prefix::PromptSegment;
 use violetline::platform::Platform;
 
 fn request(headers: &[(&str, &str)]) -> RequestHead {
@@ -52,7 +52,7 @@
     assert_eq!(ask.key.as_deref(), Some("n2ctnfzs989anu6wsjnb"));
     assert_eq!(ask.patience, Some(Millis(4_000)));
     assert_eq!(ask.output_tokens, 80);
-    let first = Part {
+    let first = PromptSegment {
         id: 0x5c1e_07a2,
         tokens: 800,
     };
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -7,7 +7,7 @@
 use violetline::direct::directory::{digest, Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::Fault;
 use violetline::direct::load::Footprint;
-use violetline::direct::prefix::Part;
+use violetline::direct::prefix::PromptSegment;
 use violetline::fingerprint::Fingerprint;
 
 const FOOTPRINT: Footprint = Footprint {
@@ -94,7 +94,7 @@
     let placed = entry.place(before, "pool", FOOTPRINT, Fingerprint(1));
     entry.endpoint_failed(before, Fault::Unreachable, "test");
     let now = clock.now();
-    let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
+    let parts = [PromptSegment { id: 1, tokens: 500 }, PromptSegment { id: 2, tokens: 9 }];
     let ids = parts.iter().map(|part| part.id);
     entry.prefixes.borrow_mut().note(before, ids, now, now);
     entry.take_changes(vec![Change::Put(life("a", 200, 2))], 2);
@@ -103,8 +103,8 @@
     let account = accounts.get(after).unwrap();
     assert_eq!(account.load.own(now).running, 0);
     assert!(!account.record.is_ejected());
-    let kept = entry.prefixes.borrow().kept(after, &parts, Millis(0), now);
-    assert_eq!(kept.sent, 0);
+    let cached = entry.prefixes.borrow().cached(after, &parts, Millis(0), now);
+    assert_eq!(cached.sent, 0);
     assert!(accounts.get(before).is_none());
     drop(accounts);
     // The end of what ran in the earlier life changes nothing in the new one.
