--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -64,7 +64,7 @@
         }),
         pause_sensitivity: 44,
         pause: Millis(200),
-        blind: Millis(75),
+        visibility_delay: Millis(75),
         room: RoomFor::default(),
         draw: 1,
     };
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -2,7 +2,7 @@
 //! prompt's kept parts from its own memory or moved there, see [`crate::direct::moves`].
 
 use crate::clock::Millis;
-use crate::direct::demand::{Candidate, Demand, Seen};
+use crate::direct::demand::{Candidate, Demand, CandidateState};
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 use crate::direct::lanes::Lanes;
@@ -24,7 +24,7 @@
     /// Time until the first event, by estimate, in ms.
     pub expected_ms: f64,
     /// The same for an endpoint as fast as the estimate takes it, in ms; what the endpoint's record compares.
-    pub usual_ms: f64,
+    pub nominal_ms: f64,
     /// What the request will add there.
     pub footprint: Footprint,
     /// Grade of the endpoint's record.
@@ -38,9 +38,9 @@
     /// Whether it has a slot for the request, beside those that are left free for more urgent ones.
     pub has_room: bool,
     /// Part of the less urgent requests that come to the pool which may be sent; 1 or more where all may.
-    pub sent_part: f64,
+    pub admitted_fraction: f64,
     /// The most urgent band of which prompts are being read at the candidates, if any.
-    pub read_band: Option<usize>,
+    pub most_urgent_unread_band: Option<usize>,
 }
 
 /// Rank of an endpoint, the least first: how it may be used, whether it has no room, its lot where lots are drawn, and its
@@ -54,29 +54,29 @@
     prefixes: &PrefixMap,
     now: Millis,
 ) -> Option<Choice> {
-    let mut all: Vec<Seen<'a>> = candidates.map(|c| see(&demand, c, prefixes, now)).collect();
+    let mut all: Vec<CandidateState<'a>> = candidates.map(|c| see(&demand, c, prefixes, now)).collect();
     keep_for_streams(&demand, &mut all);
     mark_home(&demand, &mut all);
     let backlog_ms = price::backlog_ms(&all);
-    let read_band = (0..BANDS).find(|band| all.iter().any(|seen| seen.total.unread[*band] > 0));
+    let most_urgent_unread_band = (0..BANDS).find(|band| all.iter().any(|state| state.total.unread[*band] > 0));
     let room = demand.room.in_pool(&all, now);
     let mut best: Option<(Rank, Choice)> = None;
     let sources = Sources::find(&demand, &all, now);
-    for seen in &all {
-        let cached = PrefixReuse::cached(seen.known);
-        let moved = sources.reuse(seen);
-        let has_room = has_room(&demand, seen, &room, now);
+    for state in &all {
+        let cached = PrefixReuse::cached(state.cached_tokens);
+        let moved = sources.reuse(state);
+        let has_room = has_room(&demand, state, &room, now);
         let lot = match has_room && room.is_crowded() && demand.engine.is_some() {
-            true => room.lot(seen, demand.lot_draw(seen.candidate.endpoint.digest)),
+            true => room.lot(state, demand.lot_draw(state.candidate.endpoint.digest)),
             false => 0.0,
         };
         for reuse in std::iter::once(cached).chain(moved) {
             let choice = Choice {
                 has_room,
-                ..estimate(&demand, seen, reuse, now)
+                ..estimate(&demand, state, reuse, now)
             };
-            let price = price::price_ms(&demand, seen, &reuse, now);
-            let grade = usable_grade(choice.grade, &seen.candidate, now);
+            let price = price::price_ms(&demand, state, &reuse, now);
+            let grade = usable_grade(choice.grade, &state.candidate, now);
             let rank = (grade, !has_room, lot, price);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, choice));
@@ -85,8 +85,8 @@
     }
     best.map(|(_, choice)| Choice {
         backlog_ms,
-        sent_part: room.sent_part,
-        read_band,
+        admitted_fraction: room.admitted_fraction,
+        most_urgent_unread_band,
         ..choice
     })
 }
@@ -97,45 +97,45 @@
     candidate: Candidate<'a>,
     prefixes: &PrefixMap,
     now: Millis,
-) -> Seen<'a> {
+) -> CandidateState<'a> {
     let total = candidate.load.total(now);
     let kept_since = kept_since(demand, total, now);
     let cached = prefixes.cached(candidate.key, demand.parts, kept_since, now);
-    Seen {
-        known: cached.sent,
-        ready: cached.read,
+    CandidateState {
+        cached_tokens: cached.sent,
+        transferable_tokens: cached.read,
         candidate,
         total,
-        is_kept: false,
-        first_read: None,
+        is_reserved: false,
+        uncached_home_tokens: None,
     }
 }
 
 /// Marks the home of the prompt's deepest shared part: of the endpoints that are well, the one with
 /// the greatest weight. What nobody is known to keep is read there, by whichever entry it is sent.
-fn mark_home(demand: &Demand<'_>, all: &mut [Seen<'_>]) {
+fn mark_home(demand: &Demand<'_>, all: &mut [CandidateState<'_>]) {
     if demand.engine.is_none() || demand.shared_tokens() == 0 {
         return;
     }
-    let most_known = all.iter().map(|seen| seen.known).max();
-    let weight = |seen: &&mut Seen<'_>| demand.home_weight(seen.candidate.endpoint.digest);
+    let most_known = all.iter().map(|state| state.cached_tokens).max();
+    let weight = |state: &&mut CandidateState<'_>| demand.home_weight(state.candidate.endpoint.digest);
     let well = all
         .iter_mut()
-        .filter(|seen| !seen.candidate.record.is_ejected());
+        .filter(|state| !state.candidate.record.is_ejected());
     if let Some(home) = well.max_by_key(weight) {
         let known = most_known.unwrap_or_default();
-        home.first_read = Some(demand.shared_tokens().saturating_sub(known));
+        home.uncached_home_tokens = Some(demand.shared_tokens().saturating_sub(known));
     }
 }
 
 /// Marks the endpoints that are kept for delicate streams; none where no stream is.
-fn keep_for_streams(demand: &Demand<'_>, all: &mut [Seen<'_>]) {
+fn keep_for_streams(demand: &Demand<'_>, all: &mut [CandidateState<'_>]) {
     if demand.pause == Millis(0) {
         return;
     }
     let lanes = Lanes::part(all, READ_TOKENS_PER_MS);
-    for seen in all {
-        seen.is_kept = lanes.is_delicate(seen.candidate.key);
+    for state in all {
+        state.is_reserved = lanes.is_delicate(state.candidate.key);
     }
 }
 
@@ -149,8 +149,8 @@
 }
 
 /// The estimate for one endpoint, and what the request would add there.
-fn estimate(demand: &Demand<'_>, seen: &Seen<'_>, reuse: PrefixReuse, now: Millis) -> Choice {
-    let candidate = &seen.candidate;
+fn estimate(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: PrefixReuse, now: Millis) -> Choice {
+    let candidate = &state.candidate;
     let prompt = demand.prompt_tokens();
     let unread = prompt - reuse.spared();
     let footprint = Footprint {
@@ -161,25 +161,25 @@
     };
     Choice {
         key: candidate.key,
-        expected_ms: price::expected_ms(demand, seen, &reuse, now),
-        usual_ms: price::time_ms(demand, seen, &reuse, now),
+        expected_ms: price::expected_ms(demand, state, &reuse, now),
+        nominal_ms: price::time_ms(demand, state, &reuse, now),
         footprint,
         grade: candidate.record.grade(now),
         reuse,
         backlog_ms: 0.0,
         has_room: true,
-        sent_part: 1.0,
-        read_band: None,
+        admitted_fraction: 1.0,
+        most_urgent_unread_band: None,
         is_full: candidate.load.occupancy(now) >= candidate.endpoint.listed.slots,
     }
 }
 
 /// Whether an endpoint has room for the request; plain services are chosen by their queues alone.
-fn has_room(demand: &Demand<'_>, seen: &Seen<'_>, room: &PoolRoom, now: Millis) -> bool {
+fn has_room(demand: &Demand<'_>, state: &CandidateState<'_>, room: &PoolRoom, now: Millis) -> bool {
     if demand.engine.is_none() {
         return true;
     }
-    !seen.candidate.load.is_full(now) && room.free_at(seen) > 0.0
+    !state.candidate.load.is_full(now) && room.free_at(state) > 0.0
 }
 
 /// The time since which an endpoint keeps unused parts: what runs leaves the rest of its memory to
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -32,7 +32,7 @@
     /// Tightest pause among the pool's streams; 0 where there are none.
     pub pause: Millis,
     /// How long other entries' choices stay unseen here; 0 where there are none.
-    pub blind: Millis,
+    pub visibility_delay: Millis,
     /// What room at an endpoint is for.
     pub room: RoomFor,
     /// A random number, so that entries that know the same don't all choose the same endpoint.
@@ -89,26 +89,26 @@
     /// Its record.
     pub record: &'a HealthRecord,
     /// Whether it is taken to warm up.
-    pub warming: bool,
+    pub is_warming: bool,
     /// Whether it has named a limit.
     pub is_limited: bool,
 }
 
 /// An endpoint with what is known of it for one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct CandidateState<'a> {
     /// The endpoint.
     pub candidate: Candidate<'a>,
     /// Its load from all entries, as far as known.
     pub total: EndpointWork,
     /// Tokens at the head of the prompt that it is known to keep, or will once it has read what was
     /// sent to it.
-    pub known: u64,
+    pub cached_tokens: u64,
     /// Those of them that it has read, so that others can take them from it.
-    pub ready: u64,
+    pub transferable_tokens: u64,
     /// Whether it is kept for delicate streams.
-    pub is_kept: bool,
+    pub is_reserved: bool,
     /// Shared tokens of the prompt that no endpoint is known to keep, where this is their home; `None`
     /// elsewhere.
-    pub first_read: Option<u64>,
+    pub uncached_home_tokens: Option<u64>,
 }
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -45,7 +45,7 @@
                     endpoint,
                     load: &account.load,
                     record: &account.record,
-                    warming: endpoint.warm_at(warming_time) > now,
+                    is_warming: endpoint.warm_at(warming_time) > now,
                     is_limited: self.entry.limit(key).is_some(),
                 })
             });
@@ -56,7 +56,7 @@
     pub(super) fn turned_away(&self, choice: &Choice) -> Option<RefusedWhy> {
         let is_plain = self.catalog.pool(&self.pool)?.engine.is_none();
         if !is_plain && self.leaves_room(choice) {
-            let sent_percent = (choice.sent_part.min(1.0) * 100.0) as u32;
+            let sent_percent = (choice.admitted_fraction.min(1.0) * 100.0) as u32;
             return Some(RefusedWhy::RoomKept { sent_percent });
         }
         let is_admitted = match is_plain {
@@ -131,7 +131,7 @@
             engine,
             pause_sensitivity: self.catalog.delicacy(self.route(), &self.pool),
             pause: self.catalog.tightest_pause(&self.pool),
-            blind: self.entry.peers.borrow().blind(now),
+            visibility_delay: self.entry.peers.borrow().visibility_delay(now),
             room: self.room(now),
             draw: rand::random(),
         }
--- a/src/direct/job/room.rs
+++ b/src/direct/job/room.rs
@@ -11,7 +11,7 @@
     /// second attempt is no reason to begin before them.
     pub(super) fn leaves_room(&self, choice: &Choice) -> bool {
         let now = self.entry.clock.now();
-        let is_drawn = rand::random::<f64>() < choice.sent_part;
+        let is_drawn = rand::random::<f64>() < choice.admitted_fraction;
         let leaves = self.has_more_urgent(now) && !self.has_less_urgent(now);
         leaves && !self.sent && !(choice.has_room && is_drawn)
     }
@@ -36,11 +36,11 @@
     pub(super) fn room(&self, now: Millis) -> RoomFor {
         let band = self.band();
         let peers = self.entry.peers.borrow();
-        let blind = peers.blind(now);
+        let visibility_delay = peers.visibility_delay(now);
         self.entry.turnover(&self.pool, |turnover| RoomFor {
             more_urgent: turnover.more_urgent(band, now),
             entries: peers.entries(now),
-            recent: turnover.within(band, blind, now),
+            recent: turnover.within(band, visibility_delay, now),
         })
     }
 
@@ -52,7 +52,7 @@
 
     /// Takes note of the most urgent requests at the pool's endpoints, of all entries.
     pub(super) fn note_read(&self, choice: &Choice) {
-        if let Some(band) = choice.read_band {
+        if let Some(band) = choice.most_urgent_unread_band {
             let now = self.entry.clock.now();
             self.entry.turnover(&self.pool, |t| t.see(band, now));
         }
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashSet;
 
-use crate::direct::demand::{Candidate, Seen};
+use crate::direct::demand::{Candidate, CandidateState};
 use crate::direct::directory::EndpointKey;
 use crate::direct::load;
 
@@ -35,10 +35,10 @@
 impl Lanes {
     /// Parts the endpoints that are well in proportion to both kinds of load; `prefill_tokens_per_ms` is the
     /// number of prompt tokens that an endpoint reads in a millisecond.
-    pub fn part(all: &[Seen<'_>], prefill_tokens_per_ms: f64) -> Self {
+    pub fn part(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut well: Vec<&Candidate<'_>> = all
             .iter()
-            .map(|seen| &seen.candidate)
+            .map(|state| &state.candidate)
             .filter(|candidate| !candidate.record.is_ejected())
             .collect();
         if well.len() < 2 {
@@ -70,11 +70,11 @@
 }
 
 impl Needs {
-    fn of(all: &[Seen<'_>], prefill_tokens_per_ms: f64) -> Self {
+    fn of(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut needs = Self::default();
-        for seen in all {
-            let work = &seen.total;
-            let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
+        for state in all {
+            let work = &state.total;
+            let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
             needs.writing += load::stream_equivalents(work.pause_sensitivity) / (slots * STREAMS_PART);
             needs.reading += work.prefill_tokens_per_ms() / (prefill_tokens_per_ms * READING_PART);
         }
--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 
 use crate::clock::Millis;
-use crate::direct::demand::{Demand, Seen};
+use crate::direct::demand::{Demand, CandidateState};
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 
@@ -66,7 +66,7 @@
 struct Source {
     key: EndpointKey,
     /// Tokens of the prompt that it has read.
-    ready: u64,
+    transferable_tokens: u64,
     /// Prompt tokens that it still has to read; the least busy gives first.
     unread: u32,
     /// Its place among those that are as good: at random, so that none of them becomes a bottleneck.
@@ -75,20 +75,20 @@
 
 impl Sources {
     /// The sources for a prompt among all endpoints of its pool; none where memory can't be moved.
-    pub fn find(demand: &Demand<'_>, all: &[Seen<'_>], now: Millis) -> Self {
+    pub fn find(demand: &Demand<'_>, all: &[CandidateState<'_>], now: Millis) -> Self {
         let mut found = Self::default();
         if demand.engine.and_then(|engine| engine.moves).is_none() {
             return found;
         }
-        for seen in all.iter().filter(|seen| seen.ready >= LEAST_TOKENS) {
+        for state in all.iter().filter(|state| state.transferable_tokens >= LEAST_TOKENS) {
             // One that has named a limit is in need: what is taken from it would count as well.
-            let gives = !seen.candidate.is_limited;
-            if gives && seen.candidate.record.grade(now) == Grade::Good {
+            let gives = !state.candidate.is_limited;
+            if gives && state.candidate.record.grade(now) == Grade::Good {
                 found.add(Source {
-                    key: seen.candidate.key,
-                    ready: seen.ready,
-                    unread: seen.total.total_unread(),
-                    draw: demand.draw_for(seen.candidate.endpoint.digest),
+                    key: state.candidate.key,
+                    transferable_tokens: state.transferable_tokens,
+                    unread: state.total.total_unread(),
+                    draw: demand.draw_for(state.candidate.endpoint.digest),
                 });
             }
         }
@@ -96,19 +96,19 @@
     }
 
     /// What `target` may take from another endpoint, if that is worth a move.
-    pub fn reuse(&self, target: &Seen<'_>) -> Option<PrefixReuse> {
+    pub fn reuse(&self, target: &CandidateState<'_>) -> Option<PrefixReuse> {
         let is_other = |source: &Source| source.key != target.candidate.key;
         let source = self.best.filter(is_other).or(self.next)?;
-        let moved = source.ready.saturating_sub(target.known);
+        let moved = source.transferable_tokens.saturating_sub(target.cached_tokens);
         (moved >= LEAST_TOKENS).then_some(PrefixReuse {
-            cached: target.known,
+            cached: target.cached_tokens,
             moved,
             from: Some(source.key),
         })
     }
 
     fn add(&mut self, source: Source) {
-        let rank = |source: &Source| (source.ready, Reverse(source.unread), source.draw);
+        let rank = |source: &Source| (source.transferable_tokens, Reverse(source.unread), source.draw);
         if self.best.is_none_or(|best| rank(&source) > rank(&best)) {
             self.next = self.best.replace(source);
         } else if self.next.is_none_or(|next| rank(&source) > rank(&next)) {
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -85,7 +85,7 @@
     }
 
     /// Mean time for which what another entry does stays unseen here; 0 without peers.
-    pub fn blind(&self, now: Millis) -> Millis {
+    pub fn visibility_delay(&self, now: Millis) -> Millis {
         let near = self.near_cycle();
         let turns = near + self.zone_interval(now);
         Millis(turns.0 / 2)
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -2,7 +2,7 @@
 //! event, and what it costs the requests beside it.
 
 use crate::clock::Millis;
-use crate::direct::demand::{Candidate, Demand, Seen};
+use crate::direct::demand::{Candidate, Demand, CandidateState};
 use crate::direct::load::{stream_equivalents, EndpointWork, BANDS, FULL_STREAM};
 use crate::direct::moves::PrefixReuse;
 
@@ -78,34 +78,34 @@
 const WARMING_MS: f64 = 60.0;
 
 /// Time until the first event, by estimate.
-pub fn expected_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
-    let slowness = seen.candidate.record.slowness(now);
-    time_ms(demand, seen, reuse, now) * slowness
+pub fn expected_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+    let slowness = state.candidate.record.slowness(now);
+    time_ms(demand, state, reuse, now) * slowness
 }
 
 /// Price of an endpoint: the time until the first event, and what the request costs others.
-pub fn price_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+pub fn price_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
     let unread = demand.prompt_tokens() - reuse.spared();
-    own_ms(demand, expected_ms(demand, seen, reuse, now))
-        + full_ms(demand, seen)
-        + memory_ms(demand, seen.total)
-        + beside_ms(demand, seen, unread)
-        + distance_ms(demand, &seen.candidate)
-        + again_ms(demand, seen, reuse)
+    own_ms(demand, expected_ms(demand, state, reuse, now))
+        + full_ms(demand, state)
+        + memory_ms(demand, state.total)
+        + beside_ms(demand, state, unread)
+        + distance_ms(demand, &state.candidate)
+        + again_ms(demand, state, reuse)
         + reuse.moved as f64 * MOVED_MS
-        + lane_ms(demand, seen)
-        + spread_ms(demand, seen, unread)
+        + lane_ms(demand, state)
+        + spread_ms(demand, state, unread)
 }
 
 /// Price of shared tokens that are read again: some other endpoint keeps them, or the home of those that
 /// nobody is known to keep. Entries that don't hear of each other's placements would have them read
 /// everywhere. At their home a copy more is worth its reading: all entries find it there.
-fn again_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse) -> f64 {
-    let first_read = seen.first_read.unwrap_or_default();
-    let spared = reuse.spared() + first_read;
+fn again_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse) -> f64 {
+    let uncached_home_tokens = state.uncached_home_tokens.unwrap_or_default();
+    let spared = reuse.spared() + uncached_home_tokens;
     let again = demand.shared_tokens().saturating_sub(spared);
     let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
-    let coarse = match seen.first_read {
+    let coarse = match state.uncached_home_tokens {
         Some(_) => READ_AGAIN_HOME,
         None => READ_AGAIN,
     };
@@ -114,7 +114,7 @@
 
 /// How many times longer than with [`SEEN_MS`] others' choices stay unseen; 1 or more.
 fn unseen(demand: &Demand<'_>) -> f64 {
-    (demand.blind.0 as f64 / SEEN_MS).max(1.0)
+    (demand.visibility_delay.0 as f64 / SEEN_MS).max(1.0)
 }
 
 /// Price of the request's own time: a delay that leaves it in time costs its caller little, and the
@@ -129,22 +129,22 @@
 }
 
 /// Price of an endpoint that is kept for the other kind of load.
-fn lane_ms(demand: &Demand<'_>, seen: &Seen<'_>) -> f64 {
+fn lane_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
     if demand.pause == Millis(0) {
         return 0.0;
     }
     let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
-    let unfit = if seen.is_kept { 1.0 - own } else { own };
+    let unfit = if state.is_reserved { 1.0 - own } else { own };
     unfit * OTHER_LANE_MS
 }
 
 /// A random addition that parts entries which choose at the same time and don't see each other's
 /// choices yet; `unread` is what the endpoint would read.
-fn spread_ms(demand: &Demand<'_>, seen: &Seen<'_>, unread: u64) -> f64 {
-    let draw = demand.draw_for(seen.candidate.endpoint.digest);
+fn spread_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
+    let draw = demand.draw_for(state.candidate.endpoint.digest);
     let part = draw as f64 / u64::MAX as f64;
     let read = read_ms(unread as f64);
-    let unseen = (demand.blind.0 as f64 / BLIND_MS).min(1.0);
+    let unseen = (demand.visibility_delay.0 as f64 / BLIND_MS).min(1.0);
     part * unseen * (SPREAD_MS + read * SPREAD_READ)
 }
 
@@ -154,21 +154,21 @@
 }
 
 /// Mean time that endpoints need to read the prompts that they have, in ms.
-pub fn backlog_ms(all: &[Seen<'_>]) -> f64 {
+pub fn backlog_ms(all: &[CandidateState<'_>]) -> f64 {
     let unread: f64 = all
         .iter()
-        .map(|seen| f64::from(seen.total.total_unread()))
+        .map(|state| f64::from(state.total.total_unread()))
         .sum();
     read_ms(unread) / all.len().max(1) as f64
 }
 
 /// Time until the first event if the endpoint were as fast as estimated: reading what goes before
 /// and the request itself, a move, the batch, and what waits.
-pub fn time_ms(demand: &Demand<'_>, seen: &Seen<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
-    let (candidate, total) = (&seen.candidate, seen.total);
+pub fn time_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+    let (candidate, total) = (&state.candidate, state.total);
     let unread = demand.prompt_tokens() - reuse.spared();
     if demand.engine.is_none() {
-        return BASE_MS + plain_ms(seen, now);
+        return BASE_MS + plain_ms(state, now);
     }
     let read = read_ms(tokens_before(demand, total) + unread as f64);
     let batch = f64::from(total.running) * BATCH_MS;
@@ -191,42 +191,42 @@
 }
 
 /// Time that a plain service takes: its work, once a slot is free, and a little for each that is taken.
-fn plain_ms(seen: &Seen<'_>, now: Millis) -> f64 {
-    let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-    let present = f64::from(seen.candidate.load.occupancy(now));
+fn plain_ms(state: &CandidateState<'_>, now: Millis) -> f64 {
+    let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
+    let present = f64::from(state.candidate.load.occupancy(now));
     let queued = (present + 1.0 - slots).max(0.0);
     PLAIN_MS * (1.0 + queued / slots) + present / slots * USED_SLOTS_MS
 }
 
 /// Price of a batch that fills; none at plain services.
-fn full_ms(demand: &Demand<'_>, seen: &Seen<'_>) -> f64 {
+fn full_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
     if demand.engine.is_none() {
         return 0.0;
     }
-    let used = used_slots(seen);
-    let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
+    let used = used_slots(state);
+    let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
     let over = (used - BATCH_FULL).max(0.0) * slots;
     used * used * FULL_BATCH_MS * unseen(demand).powi(2) + over * OVERFULL_MS
 }
 
 /// Part of the slots in use; more than 1 where requests wait.
-fn used_slots(seen: &Seen<'_>) -> f64 {
-    let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-    f64::from(seen.total.running) / slots
+fn used_slots(state: &CandidateState<'_>) -> f64 {
+    let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
+    f64::from(state.total.running) / slots
 }
 
 /// What reading beside streams costs: an engine reads prompts between the tokens of all others,
 /// so a long one stretches their pauses. Long prompts and delicate streams therefore avoid each
 /// other, which parts the engines between them as far as the load allows.
-fn beside_ms(demand: &Demand<'_>, seen: &Seen<'_>, unread: u64) -> f64 {
-    let total = seen.total;
+fn beside_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
+    let total = state.total;
     let own = stream_equivalents(demand.pause_sensitivity);
     let others = stream_equivalents(total.pause_sensitivity);
     let read = read_ms(unread as f64);
     let queued = read_ms(f64::from(total.total_unread()));
     let beyond = (queued + read - demand.pause.0 as f64 * PAUSE_PART).clamp(0.0, read);
     let harm = others * (read * (1.0 - own) * HARM + beyond * HARM_BEYOND);
-    if seen.is_kept {
+    if state.is_reserved {
         // Long prompts leave it as streams come.
         return harm;
     }
@@ -256,6 +256,6 @@
     } else {
         OTHER_ZONE_MS
     };
-    let warming = if candidate.warming { WARMING_MS } else { 0.0 };
+    let warming = if candidate.is_warming { WARMING_MS } else { 0.0 };
     zone + warming
 }
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -6,7 +6,7 @@
 //! its own requests left and takes its part of the rest, and they spread over all endpoints.
 
 use crate::clock::Millis;
-use crate::direct::demand::Seen;
+use crate::direct::demand::CandidateState;
 use crate::direct::turnover::Recent;
 
 /// Part of an endpoint's slots that less urgent requests leave free for each band above theirs.
@@ -48,12 +48,12 @@
     /// Slots that the request may take at an endpoint, in the mean.
     free: f64,
     /// Part of the less urgent requests that come which may be sent; 1 or more where all may.
-    pub sent_part: f64,
+    pub admitted_fraction: f64,
 }
 
 impl RoomFor {
     /// Room at all endpoints of a pool.
-    pub fn in_pool(&self, all: &[Seen<'_>], now: Millis) -> PoolRoom {
+    pub fn in_pool(&self, all: &[CandidateState<'_>], now: Millis) -> PoolRoom {
         let entries = self.entries.max(1);
         let others = (entries - 1) as f64 / all.len().max(1) as f64;
         let turned_away = self.recent.turned_away_part * TURNED_AWAY;
@@ -62,14 +62,14 @@
             left_part: (LEFT_FREE * self.more_urgent as f64 + turned_away).min(MOST_LEFT_FREE),
             unseen: self.recent.begun as f64 * others,
             free: 0.0,
-            sent_part: 1.0,
+            admitted_fraction: 1.0,
         };
-        let free: f64 = all.iter().map(|seen| room.free_at(seen).max(0.0)).sum();
+        let free: f64 = all.iter().map(|state| room.free_at(state).max(0.0)).sum();
         room.free = free / all.len().max(1) as f64;
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
         let left = (own - self.recent.ahead as f64).max(0.0);
-        room.sent_part = left / self.recent.offered.max(1) as f64 * self.held_back();
+        room.admitted_fraction = left / self.recent.offered.max(1) as f64 * self.held_back();
         room
     }
 
@@ -81,12 +81,12 @@
 
     /// This entry's share of what all entries have together: half by their number, half by the requests that it has at the
     /// endpoints, since some have more callers.
-    fn share(&self, all: &[Seen<'_>], now: Millis) -> f64 {
+    fn share(&self, all: &[CandidateState<'_>], now: Millis) -> f64 {
         let alike = 1.0 / self.entries.max(1) as f64;
-        let running: u32 = all.iter().map(|seen| seen.total.running).sum();
+        let running: u32 = all.iter().map(|state| state.total.running).sum();
         let own: u32 = all
             .iter()
-            .map(|seen| seen.candidate.load.own(now).running)
+            .map(|state| state.candidate.load.own(now).running)
             .sum();
         match running {
             0 => alike,
@@ -97,25 +97,25 @@
 
 impl PoolRoom {
     /// Slots of an endpoint that the request may take, as far as known; 0 or less where there are none.
-    pub fn free_at(&self, seen: &Seen<'_>) -> f64 {
-        let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
+    pub fn free_at(&self, state: &CandidateState<'_>) -> f64 {
+        let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
         let left_free = match self.more_urgent {
             0 => 0.0,
             // What others began unseen varies by its square root.
             _ => (slots * self.left_part).ceil() + self.unseen.sqrt() * DEVIATIONS,
         };
-        slots - left_free - f64::from(seen.total.running)
+        slots - left_free - f64::from(state.total.running)
     }
 
     /// Whether requests come about as fast as slots become free: entries that go where most are free would meet there.
     pub fn is_crowded(&self) -> bool {
-        self.sent_part < 1.0 || self.free < self.unseen * CROWDED
+        self.admitted_fraction < 1.0 || self.free < self.unseen * CROWDED
     }
 
     /// Rank of an endpoint with free slots in a draw that takes each as often as it has slots; the least wins. `draw` is from 0 to
     /// 1, another one for each request and endpoint.
-    pub fn lot(&self, seen: &Seen<'_>, draw: f64) -> f64 {
-        let free = self.free_at(seen).max(f64::MIN_POSITIVE);
+    pub fn lot(&self, state: &CandidateState<'_>, draw: f64) -> f64 {
+        let free = self.free_at(state).max(f64::MIN_POSITIVE);
         -draw.max(f64::MIN_POSITIVE).ln() / free
     }
 }
--- a/src/direct/turnover.rs
+++ b/src/direct/turnover.rs
@@ -97,8 +97,8 @@
     }
 
     /// What happened in the time for which others' choices stay unseen, for requests of a band.
-    pub fn within(&self, band: usize, blind: Millis, now: Millis) -> Recent {
-        let since = now - blind;
+    pub fn within(&self, band: usize, visibility_delay: Millis, now: Millis) -> Recent {
+        let since = now - visibility_delay;
         let ahead = self.offered[..band].iter();
         Recent {
             ahead: ahead.map(|offered| count(offered, since)).sum(),
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -359,11 +359,11 @@
         .filter(|at| at.is_some())
         .count();
     assert_eq!(known, 40);
-    let (word, blind) = (
+    let (word, visibility_delay) = (
         fleet.entries[0].book.near_word(),
-        fleet.entries[0].book.blind(fleet.now),
+        fleet.entries[0].book.visibility_delay(fleet.now),
     );
-    assert!(word >= Millis(1_500) && blind < word);
+    assert!(word >= Millis(1_500) && visibility_delay < word);
 }
 
 /// What peers told counts for longer than it takes to tell it anew, in a fleet of any size.
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -52,7 +52,7 @@
             endpoint: self.directory.get(self.key(i)).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &self.prefixes, NOW).unwrap()
@@ -69,7 +69,7 @@
         engine: Some(ENGINE),
         pause_sensitivity: 6,
         pause: Millis(250),
-        blind: Millis(0),
+        visibility_delay: Millis(0),
         room: RoomFor::default(),
         draw: 0,
     }
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -56,7 +56,7 @@
             endpoint: self.directory.get(*key).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         let choice = choose(demand, candidates, &self.prefixes, now).unwrap();
@@ -78,7 +78,7 @@
     ]
 }
 
-fn coarse(parts: &[PromptSegment], draw: u64, blind: Millis) -> Demand<'_> {
+fn coarse(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -88,19 +88,19 @@
         engine: Some(ENGINE),
         pause_sensitivity: 7,
         pause: Millis(400),
-        blind,
+        visibility_delay,
         room: RoomFor::default(),
         draw,
     }
 }
 
-fn urgent(parts: &[PromptSegment], draw: u64, blind: Millis) -> Demand<'_> {
+fn urgent(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 0,
         output_tokens: 280,
         target: Millis(400),
         pause_sensitivity: 100,
-        ..coarse(parts, draw, blind)
+        ..coarse(parts, draw, visibility_delay)
     }
 }
 
@@ -183,7 +183,7 @@
 #[test]
 fn blind_burst() {
     let (endpoints, streams) = (30, 900);
-    let blind = Millis(450);
+    let visibility_delay = Millis(450);
     let mut entries: Vec<Entry> = (0..20).map(|_| Entry::new(endpoints)).collect();
     for entry in &mut entries {
         for i in 3..endpoints {
@@ -212,7 +212,7 @@
             },
         ];
         let entry = &mut entries[(n * 7 % 20) as usize];
-        let (i, _) = entry.place(urgent(&parts, n, blind), now);
+        let (i, _) = entry.place(urgent(&parts, n, visibility_delay), now);
         streams_at[i] += 1;
         if n % 150 == 149 {
             tell_all(&mut entries, now);
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -6,7 +6,7 @@
 use violetline::clock::Millis;
 use violetline::direct::catalog::EngineShape;
 use violetline::direct::choose::choose;
-use violetline::direct::demand::{Candidate, Demand, Seen};
+use violetline::direct::demand::{Candidate, Demand, CandidateState};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::lanes::Lanes;
@@ -56,7 +56,7 @@
             endpoint: self.directory.get(self.keys[i]).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         };
         (0..self.keys.len()).map(candidate).collect()
@@ -64,7 +64,7 @@
 
     /// Positions of the endpoints that are kept for delicate streams.
     fn kept(&self) -> Vec<usize> {
-        let all: Vec<Seen<'_>> = self.candidates().into_iter().map(see).collect();
+        let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
         let lanes = Lanes::part(&all, READS);
         let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
         (0..self.keys.len()).filter(is_kept).collect()
@@ -83,13 +83,13 @@
     }
 }
 
-fn see(candidate: Candidate<'_>) -> Seen<'_> {
-    Seen {
+fn see(candidate: Candidate<'_>) -> CandidateState<'_> {
+    CandidateState {
         total: candidate.load.total(NOW),
-        known: 0,
-        ready: 0,
-        is_kept: false,
-        first_read: None,
+        cached_tokens: 0,
+        transferable_tokens: 0,
+        is_reserved: false,
+        uncached_home_tokens: None,
         candidate,
     }
 }
@@ -105,7 +105,7 @@
         engine: Some(ENGINE),
         pause_sensitivity: 100,
         pause: Millis(250),
-        blind: Millis(300),
+        visibility_delay: Millis(300),
         room: RoomFor::default(),
         draw,
     }
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -76,7 +76,7 @@
             }),
             pause_sensitivity: 44,
             pause: Millis(200),
-            blind: Millis(0),
+            visibility_delay: Millis(0),
             room: self.room,
             draw: self.draw,
         };
@@ -85,7 +85,7 @@
             endpoint: self.directory.get(self.key(id)).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &self.prefixes, NOW).unwrap()
@@ -180,7 +180,7 @@
     for draw in 0..50 {
         pool.draw = draw;
         let choice = pool.choose(&prompt(2_900));
-        assert!(choice.sent_part < 1.0);
+        assert!(choice.admitted_fraction < 1.0);
         if choice.key != keeper {
             assert_eq!(choice.reuse.moved, 6_300, "{choice:?}");
             moved += 1;
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -360,7 +360,7 @@
             engine: Some(SHAPE),
             pause_sensitivity: of.pause_sensitivity,
             pause: Millis(400),
-            blind: Millis(TELL / 2),
+            visibility_delay: Millis(TELL / 2),
             room: RoomFor::default(),
             draw,
         };
@@ -371,7 +371,7 @@
             endpoint: self.directory.get(self.keys[i]).unwrap(),
             load: &entry.loads[i],
             record: &entry.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &entry.prefixes, now)
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -58,7 +58,7 @@
                 endpoint: directory.get(key).unwrap(),
                 load: &loads[entry],
                 record: &records[entry],
-                warming: false,
+                is_warming: false,
                 is_limited: false,
             };
             let one = std::iter::once(candidate);
@@ -91,7 +91,7 @@
             };
             let seen = Millis(now + WAY - call.sent);
             loads[call.entry].end(call.choice.footprint);
-            records[call.entry].began(at, seen, call.choice.usual_ms);
+            records[call.entry].began(at, seen, call.choice.nominal_ms);
             loads[call.entry].record_report(report(&calls), at);
             match seen <= TARGET {
                 true => in_time += 1,
@@ -121,7 +121,7 @@
         engine: None,
         pause_sensitivity: 0,
         pause: Millis(0),
-        blind: Millis(150),
+        visibility_delay: Millis(150),
         room: RoomFor::default(),
         draw: 0,
     }
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -82,7 +82,7 @@
             endpoint: self.directory.get(self.key(i)).unwrap(),
             load: &self.loads[i],
             record: &record,
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         let demand = Demand {
@@ -94,7 +94,7 @@
             engine: Some(ENGINE),
             pause_sensitivity: 0,
             pause: Millis(0),
-            blind: Millis(0),
+            visibility_delay: Millis(0),
             room,
             draw,
         };
@@ -191,8 +191,8 @@
                 },
                 ..LATER
             };
-            let sent_part = Pool::told(running, own).choose(room, 1).sent_part;
-            begun += sent_part.min(1.0) * room.recent.offered as f64;
+            let admitted_fraction = Pool::told(running, own).choose(room, 1).admitted_fraction;
+            begun += admitted_fraction.min(1.0) * room.recent.offered as f64;
             ended += room.recent.ended;
             offered += room.recent.offered;
         }
@@ -286,23 +286,23 @@
         turnover.come(2, NOW);
     }
     let pool = Pool::new([SLOTS - SLOTS / 8 - 5; 4]);
-    let sent_part = |band: usize| {
+    let admitted_fraction = |band: usize| {
         let room = RoomFor {
             more_urgent: turnover.more_urgent(band, NOW),
             entries: 1,
             recent: turnover.within(band, Millis(100), NOW),
         };
-        pool.choose(room, 1).sent_part
+        pool.choose(room, 1).admitted_fraction
     };
-    assert!(sent_part(1) >= 1.0, "{}", sent_part(1));
-    assert!(sent_part(2) <= 0.0, "{}", sent_part(2));
+    assert!(admitted_fraction(1) >= 1.0, "{}", admitted_fraction(1));
+    assert!(admitted_fraction(2) <= 0.0, "{}", admitted_fraction(2));
 }
 
 /// Less urgent requests are held back as more of a more urgent kind get nothing, and all of them at a twelfth.
 #[test]
 fn held_back() {
     let pool = Pool::new([0; 4]);
-    let sent_part = |nothing: usize| {
+    let admitted_fraction = |nothing: usize| {
         let mut turnover = Turnover::default();
         for i in 0..240 {
             turnover.come(0, NOW);
@@ -316,11 +316,11 @@
             entries: 1,
             recent: turnover.within(1, Millis(100), NOW),
         };
-        pool.choose(room, 1).sent_part
+        pool.choose(room, 1).admitted_fraction
     };
-    assert_eq!(sent_part(0), sent_part(10));
-    assert!(sent_part(15) < sent_part(10) && sent_part(15) > 0.0);
-    assert_eq!(sent_part(20), 0.0);
+    assert_eq!(admitted_fraction(0), admitted_fraction(10));
+    assert!(admitted_fraction(15) < admitted_fraction(10) && admitted_fraction(15) > 0.0);
+    assert_eq!(admitted_fraction(20), 0.0);
 }
 
 /// A middle band leaves room only where hardly any less urgent requests come, which would leave it.
