--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -74,7 +74,7 @@
             endpoint,
             load: &load,
             record: &record,
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(black_box(demand), candidates, &prefixes, NOW)
