--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -9,7 +9,7 @@
 use violetline::direct::health::HealthRecord;
 use violetline::direct::load::EndpointLoad;
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 
@@ -65,7 +65,7 @@
         pause_sensitivity: 44,
         pause: Millis(200),
         visibility_delay: Millis(75),
-        room: RoomFor::default(),
+        room: RoomInputs::default(),
         draw: 1,
     };
     bencher.bench_local(|| {
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -8,7 +8,7 @@
 use crate::direct::health::HealthRecord;
 use crate::direct::load::{EndpointLoad, EndpointWork};
 use crate::direct::prefix::PromptSegment;
-use crate::direct::room::RoomFor;
+use crate::direct::room::RoomInputs;
 use crate::spread::spread;
 
 /// What is to be placed.
@@ -34,7 +34,7 @@
     /// How long other entries' choices stay unseen here; 0 where there are none.
     pub visibility_delay: Millis,
     /// What room at an endpoint is for.
-    pub room: RoomFor,
+    pub room: RoomInputs,
     /// A random number, so that entries that know the same don't all choose the same endpoint.
     pub draw: u64,
 }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -13,7 +13,7 @@
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
 use crate::direct::health::{Fault, HealthRecord};
 use crate::direct::load::{Footprint, EndpointLoad};
-use crate::direct::turnover::Turnover;
+use crate::direct::turnover::PoolActivity;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::LifeDigest;
@@ -183,7 +183,7 @@
     }
 
     /// What this entry did lately at a pool.
-    pub fn turnover<T>(&self, pool: &str, look: impl FnOnce(&mut Turnover) -> T) -> T {
+    pub fn turnover<T>(&self, pool: &str, look: impl FnOnce(&mut PoolActivity) -> T) -> T {
         let mut turnovers = self.turnovers.borrow_mut();
         if let Some(turnover) = turnovers.get_mut(pool) {
             return look(turnover);
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -31,7 +31,7 @@
 use crate::direct::peers::{PeerBook, PeerId, RecentPlacements};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::settings::DirectSettings;
-use crate::direct::turnover::Turnover;
+use crate::direct::turnover::PoolActivity;
 use crate::direct::versions::VersionLog;
 use crate::direct::warmup::FleetSize;
 use crate::quarantine::Quarantine;
@@ -88,7 +88,7 @@
     /// Where datagrams to peers leave; set once the process listens.
     pub link: OnceCell<Rc<UdpSocket>>,
     /// Requests that began and ended lately, by pool.
-    turnovers: RefCell<HashMap<String, Turnover>>,
+    turnovers: RefCell<HashMap<String, PoolActivity>>,
     /// Retry budgets by pool.
     pub retries: RefCell<HashMap<String, RetryWindow>>,
     /// Requests under which endpoints ended.
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Millis;
 use crate::direct::demand::CandidateState;
-use crate::direct::turnover::Recent;
+use crate::direct::turnover::RecentActivity;
 
 /// Part of an endpoint's slots that less urgent requests leave free for each band above theirs.
 const LEFT_FREE: f64 = 0.125;
@@ -28,19 +28,19 @@
 
 /// For whom there is to be room, and who shares it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RoomFor {
+pub struct RoomInputs {
     /// More urgent bands, for each of which slots are left free.
-    pub more_urgent: usize,
+    pub more_urgent_bands: usize,
     /// Entries that send to the pool, this one included.
     pub entries: usize,
     /// What this entry did in the time for which others' choices stay unseen.
-    pub recent: Recent,
+    pub recent: RecentActivity,
 }
 
 /// Room at the endpoints of a pool for one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolRoom {
-    more_urgent: usize,
+    more_urgent_bands: usize,
     /// Part of the slots that is left free.
     left_part: f64,
     /// Requests that other entries began at each endpoint unseen.
@@ -51,16 +51,16 @@
     pub admitted_fraction: f64,
 }
 
-impl RoomFor {
+impl RoomInputs {
     /// Room at all endpoints of a pool.
     pub fn in_pool(&self, all: &[CandidateState<'_>], now: Millis) -> PoolRoom {
         let entries = self.entries.max(1);
         let others = (entries - 1) as f64 / all.len().max(1) as f64;
-        let turned_away = self.recent.turned_away_part * TURNED_AWAY;
+        let turned_away = self.recent.rejected_fraction * TURNED_AWAY;
         let mut room = PoolRoom {
-            more_urgent: self.more_urgent,
-            left_part: (LEFT_FREE * self.more_urgent as f64 + turned_away).min(MOST_LEFT_FREE),
-            unseen: self.recent.begun as f64 * others,
+            more_urgent_bands: self.more_urgent_bands,
+            left_part: (LEFT_FREE * self.more_urgent_bands as f64 + turned_away).min(MOST_LEFT_FREE),
+            unseen: self.recent.started as f64 * others,
             free: 0.0,
             admitted_fraction: 1.0,
         };
@@ -68,14 +68,14 @@
         room.free = free / all.len().max(1) as f64;
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
-        let left = (own - self.recent.ahead as f64).max(0.0);
-        room.admitted_fraction = left / self.recent.offered.max(1) as f64 * self.held_back();
+        let left = (own - self.recent.more_urgent_arrivals as f64).max(0.0);
+        room.admitted_fraction = left / self.recent.yielding_arrivals.max(1) as f64 * self.held_back();
         room
     }
 
     /// Part of what there is room for that is sent while more urgent requests get nothing.
     fn held_back(&self) -> f64 {
-        let beyond = self.recent.nothing_part / NOTHING_PART - 1.0;
+        let beyond = self.recent.refused_fraction / NOTHING_PART - 1.0;
         1.0 - beyond.clamp(0.0, 1.0)
     }
 
@@ -99,7 +99,7 @@
     /// Slots of an endpoint that the request may take, as far as known; 0 or less where there are none.
     pub fn free_at(&self, state: &CandidateState<'_>) -> f64 {
         let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
-        let left_free = match self.more_urgent {
+        let left_free = match self.more_urgent_bands {
             0 => 0.0,
             // What others began unseen varies by its square root.
             _ => (slots * self.left_part).ceil() + self.unseen.sqrt() * DEVIATIONS,
--- a/src/direct/turnover.rs
+++ b/src/direct/turnover.rs
@@ -16,12 +16,12 @@
 
 /// Requests of this entry that came, began and ended lately.
 #[derive(Debug, Clone, Default)]
-pub struct Turnover {
+pub struct PoolActivity {
     /// When requests of each band of urgency were last seen, here or at peers.
     seen: [Option<Millis>; BANDS],
     /// Those that leave room for more urgent ones, by band.
-    offered: [VecDeque<Millis>; BANDS],
-    begun: VecDeque<Millis>,
+    yielding_arrivals: [VecDeque<Millis>; BANDS],
+    started: VecDeque<Millis>,
     ended: VecDeque<Millis>,
     turned_away: VecDeque<Millis>,
     /// All that came, by band.
@@ -30,13 +30,13 @@
     nothing: [VecDeque<Millis>; BANDS],
 }
 
-impl Turnover {
+impl PoolActivity {
     /// A request of a band comes.
-    pub fn come(&mut self, band: usize, now: Millis) {
-        self.see(band, now);
+    pub fn record_arrival(&mut self, band: usize, now: Millis) {
+        self.record_active_band(band, now);
         note(&mut self.came[band], now);
-        if self.more_urgent(band, now) > 0 {
-            note(&mut self.offered[band], now);
+        if self.more_urgent_bands(band, now) > 0 {
+            note(&mut self.yielding_arrivals[band], now);
         }
     }
 
@@ -50,19 +50,19 @@
     }
 
     /// Requests of a band are under way, here or at peers.
-    pub fn see(&mut self, band: usize, now: Millis) {
+    pub fn record_active_band(&mut self, band: usize, now: Millis) {
         self.seen[band] = Some(now);
     }
 
     /// Bands more urgent than one of which requests were seen lately.
-    pub fn more_urgent(&self, band: usize, now: Millis) -> usize {
+    pub fn more_urgent_bands(&self, band: usize, now: Millis) -> usize {
         let is_recent = |at: &&Option<Millis>| at.is_some_and(|at| now < at + SEEN);
         self.seen[..band].iter().filter(is_recent).count()
     }
 
     /// A request begins at an endpoint.
     pub fn begin(&mut self, now: Millis) {
-        note(&mut self.begun, now);
+        note(&mut self.started, now);
     }
 
     /// A request at an endpoint ends.
@@ -71,12 +71,12 @@
     }
 
     /// A request of a band gets nothing for want of room.
-    pub fn get_nothing(&mut self, band: usize, now: Millis) {
+    pub fn record_refusal(&mut self, band: usize, now: Millis) {
         note(&mut self.nothing[band], now);
     }
 
     /// Largest part of the requests of a band more urgent than one that got nothing within [`REMEMBERED`].
-    pub fn nothing_part(&self, band: usize, now: Millis) -> f64 {
+    pub fn refused_fraction(&self, band: usize, now: Millis) -> f64 {
         let since = now - REMEMBERED;
         let part = |band: usize| {
             let came = count(&self.came[band], since).max(LEAST_SENT);
@@ -86,46 +86,46 @@
     }
 
     /// An endpoint turned a request away for want of room.
-    pub fn turn_away(&mut self, now: Millis) {
+    pub fn record_rejection(&mut self, now: Millis) {
         note(&mut self.turned_away, now);
     }
 
-    fn turned_away_part(&self, now: Millis) -> f64 {
+    fn rejected_fraction(&self, now: Millis) -> f64 {
         let since = now - REMEMBERED;
-        let sent = count(&self.begun, since).max(LEAST_SENT);
+        let sent = count(&self.started, since).max(LEAST_SENT);
         count(&self.turned_away, since) as f64 / sent as f64
     }
 
     /// What happened in the time for which others' choices stay unseen, for requests of a band.
-    pub fn within(&self, band: usize, visibility_delay: Millis, now: Millis) -> Recent {
+    pub fn recent(&self, band: usize, visibility_delay: Millis, now: Millis) -> RecentActivity {
         let since = now - visibility_delay;
-        let ahead = self.offered[..band].iter();
-        Recent {
-            ahead: ahead.map(|offered| count(offered, since)).sum(),
-            offered: count(&self.offered[band], since),
-            begun: count(&self.begun, since),
+        let more_urgent_arrivals = self.yielding_arrivals[..band].iter();
+        RecentActivity {
+            more_urgent_arrivals: more_urgent_arrivals.map(|yielding_arrivals| count(yielding_arrivals, since)).sum(),
+            yielding_arrivals: count(&self.yielding_arrivals[band], since),
+            started: count(&self.started, since),
             ended: count(&self.ended, since),
-            turned_away_part: self.turned_away_part(now),
-            nothing_part: self.nothing_part(band, now),
+            rejected_fraction: self.rejected_fraction(now),
+            refused_fraction: self.refused_fraction(band, now),
         }
     }
 }
 
 /// Requests of one entry in a short time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Recent {
+pub struct RecentActivity {
     /// More urgent ones that came and leave room for others themselves.
-    pub ahead: usize,
+    pub more_urgent_arrivals: usize,
     /// Those of the band that came and leave room for more urgent ones.
-    pub offered: usize,
+    pub yielding_arrivals: usize,
     /// Those that began at an endpoint.
-    pub begun: usize,
+    pub started: usize,
     /// Those that ended there.
     pub ended: usize,
     /// Part of those sent within [`REMEMBERED`] that endpoints turned away for want of room.
-    pub turned_away_part: f64,
+    pub rejected_fraction: f64,
     /// Largest part of the requests of a more urgent band that got nothing within [`REMEMBERED`].
-    pub nothing_part: f64,
+    pub refused_fraction: f64,
 }
 
 fn note(times: &mut VecDeque<Millis>, now: Millis) {
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -11,7 +11,7 @@
 use violetline::direct::health::{Fault, Grade, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad, EndpointReport};
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineShape = EngineShape {
@@ -70,7 +70,7 @@
         pause_sensitivity: 6,
         pause: Millis(250),
         visibility_delay: Millis(0),
-        room: RoomFor::default(),
+        room: RoomInputs::default(),
         draw: 0,
     }
 }
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -15,7 +15,7 @@
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineShape = EngineShape {
@@ -89,7 +89,7 @@
         pause_sensitivity: 7,
         pause: Millis(400),
         visibility_delay,
-        room: RoomFor::default(),
+        room: RoomInputs::default(),
         draw,
     }
 }
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -12,7 +12,7 @@
 use violetline::direct::lanes::Lanes;
 use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineShape = EngineShape {
@@ -106,7 +106,7 @@
         pause_sensitivity: 100,
         pause: Millis(250),
         visibility_delay: Millis(300),
-        room: RoomFor::default(),
+        room: RoomInputs::default(),
         draw,
     }
 }
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -11,8 +11,8 @@
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
-use violetline::direct::turnover::Recent;
+use violetline::direct::room::RoomInputs;
+use violetline::direct::turnover::RecentActivity;
 
 const NOW: Millis = Millis(10_000);
 /// Bytes of memory of a token, and a link between engines in Mbit/s: 6,300 tokens move in 22 ms.
@@ -33,7 +33,7 @@
     records: [HealthRecord; 3],
     prefixes: PrefixMap,
     moves: Option<MoveShape>,
-    room: RoomFor,
+    room: RoomInputs,
     draw: u64,
 }
 
@@ -49,7 +49,7 @@
             records: Default::default(),
             prefixes: PrefixMap::default(),
             moves: Some(MOVES),
-            room: RoomFor::default(),
+            room: RoomInputs::default(),
             draw: 0,
         };
         let keeper = pool.key("a");
@@ -167,13 +167,13 @@
 #[test]
 fn moved_where_drawn() {
     let mut pool = Pool::new();
-    pool.room = RoomFor {
+    pool.room = RoomInputs {
         entries: 9,
-        recent: Recent {
-            offered: 1_000,
-            ..Recent::default()
+        recent: RecentActivity {
+            yielding_arrivals: 1_000,
+            ..RecentActivity::default()
         },
-        more_urgent: 1,
+        more_urgent_bands: 1,
     };
     let keeper = pool.key("a");
     let mut moved = 0;
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -18,7 +18,7 @@
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const STEP: Millis = Millis(5);
 const ENGINES: usize = 8;
@@ -361,7 +361,7 @@
             pause_sensitivity: of.pause_sensitivity,
             pause: Millis(400),
             visibility_delay: Millis(TELL / 2),
-            room: RoomFor::default(),
+            room: RoomInputs::default(),
             draw,
         };
         let entry = &self.entries[at];
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -15,7 +15,7 @@
 use violetline::direct::health::HealthRecord;
 use violetline::direct::load::{EndpointLoad, EndpointReport};
 use violetline::direct::prefix::PrefixMap;
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const SLOTS: usize = 6;
 /// Calls that the endpoint lets wait; more are rejected.
@@ -122,7 +122,7 @@
         pause_sensitivity: 0,
         pause: Millis(0),
         visibility_delay: Millis(150),
-        room: RoomFor::default(),
+        room: RoomInputs::default(),
         draw: 0,
     }
 }
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -12,8 +12,8 @@
 use violetline::direct::load::{Footprint, EndpointLoad, LoadSource, EndpointWork};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::PrefixMap;
-use violetline::direct::room::RoomFor;
-use violetline::direct::turnover::{Recent, Turnover};
+use violetline::direct::room::RoomInputs;
+use violetline::direct::turnover::{RecentActivity, PoolActivity};
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineShape = EngineShape {
@@ -75,7 +75,7 @@
         self.directory.key(IDS[i]).unwrap()
     }
 
-    fn choose(&self, room: RoomFor, draw: u64) -> Choice {
+    fn choose(&self, room: RoomInputs, draw: u64) -> Choice {
         let record = HealthRecord::default();
         let candidates = (0..IDS.len()).map(|i| Candidate {
             key: self.key(i),
@@ -86,7 +86,7 @@
             is_limited: false,
         });
         let demand = Demand {
-            band: room.more_urgent,
+            band: room.more_urgent_bands,
             parts: &[],
             output_tokens: 100,
             target: Millis(600),
@@ -102,20 +102,20 @@
     }
 }
 
-const URGENT: RoomFor = RoomFor {
-    more_urgent: 0,
+const URGENT: RoomInputs = RoomInputs {
+    more_urgent_bands: 0,
     entries: 1,
-    recent: Recent {
-        ahead: 0,
-        offered: 0,
-        begun: 0,
+    recent: RecentActivity {
+        more_urgent_arrivals: 0,
+        yielding_arrivals: 0,
+        started: 0,
         ended: 0,
-        turned_away_part: 0.0,
-        nothing_part: 0.0,
+        rejected_fraction: 0.0,
+        refused_fraction: 0.0,
     },
 };
-const LATER: RoomFor = RoomFor {
-    more_urgent: 1,
+const LATER: RoomInputs = RoomInputs {
+    more_urgent_bands: 1,
     ..URGENT
 };
 
@@ -170,7 +170,7 @@
     arbtest::arbtest(|u| {
         let entries = u.int_in_range(1..=40usize)?;
         let mut others = running;
-        let (mut begun, mut ended, mut offered) = (0.0, 0, 0);
+        let (mut started, mut ended, mut yielding_arrivals) = (0.0, 0, 0);
         for entry in 0..entries {
             let mut own = [0; 4];
             for (own, left) in own.iter_mut().zip(&mut others) {
@@ -182,25 +182,25 @@
                 };
                 *left -= *own;
             }
-            let room = RoomFor {
+            let room = RoomInputs {
                 entries,
-                recent: Recent {
-                    offered: u.int_in_range(0..=200)?,
+                recent: RecentActivity {
+                    yielding_arrivals: u.int_in_range(0..=200)?,
                     ended: u.int_in_range(0..=20)?,
-                    ..Recent::default()
+                    ..RecentActivity::default()
                 },
                 ..LATER
             };
             let admitted_fraction = Pool::told(running, own).choose(room, 1).admitted_fraction;
-            begun += admitted_fraction.min(1.0) * room.recent.offered as f64;
+            started += admitted_fraction.min(1.0) * room.recent.yielding_arrivals as f64;
             ended += room.recent.ended;
-            offered += room.recent.offered;
+            yielding_arrivals += room.recent.yielding_arrivals;
         }
         assert!(
-            begun <= f64::from(free) * 2.0 + ended as f64 + 1e-6,
-            "{begun}"
+            started <= f64::from(free) * 2.0 + ended as f64 + 1e-6,
+            "{started}"
         );
-        assert!(begun <= offered as f64 + 1e-6);
+        assert!(started <= yielding_arrivals as f64 + 1e-6);
         Ok(())
     });
 }
@@ -210,10 +210,10 @@
 fn turned_away_leaves_more() {
     let pool = Pool::new([SLOTS / 2; 4]);
     assert!(pool.choose(LATER, 1).has_room);
-    let after = |turned_away_part| RoomFor {
-        recent: Recent {
-            turned_away_part,
-            ..Recent::default()
+    let after = |rejected_fraction| RoomInputs {
+        recent: RecentActivity {
+            rejected_fraction,
+            ..RecentActivity::default()
         },
         ..LATER
     };
@@ -226,11 +226,11 @@
 #[test]
 fn spread_where_crowded() {
     let pool = Pool::new([50, 54, 52, 10]);
-    let crowded = RoomFor {
+    let crowded = RoomInputs {
         entries: 30,
-        recent: Recent {
-            offered: 100,
-            ..Recent::default()
+        recent: RecentActivity {
+            yielding_arrivals: 100,
+            ..RecentActivity::default()
         },
         ..LATER
     };
@@ -249,48 +249,48 @@
 
 #[test]
 fn recent_forgotten() {
-    let mut turnover = Turnover::default();
-    turnover.see(0, Millis(0));
+    let mut turnover = PoolActivity::default();
+    turnover.record_active_band(0, Millis(0));
     for ms in 0..1_000 {
-        turnover.come(1, Millis(ms));
+        turnover.record_arrival(1, Millis(ms));
         turnover.begin(Millis(ms));
     }
     turnover.end(Millis(990));
-    let recent = turnover.within(1, Millis(100), Millis(1_000));
-    assert_eq!((recent.offered, recent.begun, recent.ended), (100, 100, 1));
+    let recent = turnover.recent(1, Millis(100), Millis(1_000));
+    assert_eq!((recent.yielding_arrivals, recent.started, recent.ended), (100, 100, 1));
     assert_eq!(
-        turnover.within(1, Millis(100), Millis(9_000)),
-        Recent::default()
+        turnover.recent(1, Millis(100), Millis(9_000)),
+        RecentActivity::default()
     );
 }
 
 /// Room is left for kinds that come, not for those that the configuration names alone.
 #[test]
 fn urgent_seen() {
-    let mut turnover = Turnover::default();
-    turnover.come(1, NOW);
-    assert_eq!(turnover.more_urgent(2, NOW + Millis(60_000)), 0);
-    assert_eq!(turnover.more_urgent(2, NOW), 1);
-    assert_eq!(turnover.more_urgent(1, NOW), 0);
-    turnover.see(0, NOW);
-    assert_eq!(turnover.more_urgent(2, NOW), 2);
+    let mut turnover = PoolActivity::default();
+    turnover.record_arrival(1, NOW);
+    assert_eq!(turnover.more_urgent_bands(2, NOW + Millis(60_000)), 0);
+    assert_eq!(turnover.more_urgent_bands(2, NOW), 1);
+    assert_eq!(turnover.more_urgent_bands(1, NOW), 0);
+    turnover.record_active_band(0, NOW);
+    assert_eq!(turnover.more_urgent_bands(2, NOW), 2);
 }
 
 /// Of three bands the middle one has the room that the most urgent leaves, and the least urgent what is left then.
 #[test]
 fn middle_before_least() {
-    let mut turnover = Turnover::default();
-    turnover.see(0, NOW);
+    let mut turnover = PoolActivity::default();
+    turnover.record_active_band(0, NOW);
     for _ in 0..40 {
-        turnover.come(1, NOW);
-        turnover.come(2, NOW);
+        turnover.record_arrival(1, NOW);
+        turnover.record_arrival(2, NOW);
     }
     let pool = Pool::new([SLOTS - SLOTS / 8 - 5; 4]);
     let admitted_fraction = |band: usize| {
-        let room = RoomFor {
-            more_urgent: turnover.more_urgent(band, NOW),
+        let room = RoomInputs {
+            more_urgent_bands: turnover.more_urgent_bands(band, NOW),
             entries: 1,
-            recent: turnover.within(band, Millis(100), NOW),
+            recent: turnover.recent(band, Millis(100), NOW),
         };
         pool.choose(room, 1).admitted_fraction
     };
@@ -303,18 +303,18 @@
 fn held_back() {
     let pool = Pool::new([0; 4]);
     let admitted_fraction = |nothing: usize| {
-        let mut turnover = Turnover::default();
+        let mut turnover = PoolActivity::default();
         for i in 0..240 {
-            turnover.come(0, NOW);
-            turnover.come(1, NOW);
+            turnover.record_arrival(0, NOW);
+            turnover.record_arrival(1, NOW);
             if i < nothing {
-                turnover.get_nothing(0, NOW);
+                turnover.record_refusal(0, NOW);
             }
         }
-        let room = RoomFor {
-            more_urgent: 1,
+        let room = RoomInputs {
+            more_urgent_bands: 1,
             entries: 1,
-            recent: turnover.within(1, Millis(100), NOW),
+            recent: turnover.recent(1, Millis(100), NOW),
         };
         pool.choose(room, 1).admitted_fraction
     };
@@ -326,13 +326,13 @@
 /// A middle band leaves room only where hardly any less urgent requests come, which would leave it.
 #[test]
 fn least_urgent_leave_first() {
-    let mut turnover = Turnover::default();
+    let mut turnover = PoolActivity::default();
     for i in 0..40 {
-        turnover.come(1, NOW);
+        turnover.record_arrival(1, NOW);
         assert!(!turnover.has_less_urgent(1, NOW), "{i}");
     }
     for _ in 0..20 {
-        turnover.come(2, NOW);
+        turnover.record_arrival(2, NOW);
     }
     assert!(turnover.has_less_urgent(1, NOW));
     assert!(!turnover.has_less_urgent(2, NOW));
