--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -200,7 +200,7 @@
         request: Fingerprint,
     ) -> Placed {
         let now = self.clock.now();
-        self.turnover(pool, |turnover| turnover.begin(now));
+        self.turnover(pool, |turnover| turnover.record_start(now));
         self.account(key, |account| {
             account.load.begin(footprint, now);
             account.sends.note(now);
@@ -373,7 +373,7 @@
     fn drop(&mut self) {
         self.read();
         let now = self.entry.clock.now();
-        self.entry.turnover(&self.pool, |t| t.end(now));
+        self.entry.turnover(&self.pool, |t| t.record_end(now));
         let footprint = self.footprint;
         self.entry
             .account(self.key, |account| account.load.end(footprint));
--- a/src/direct/turnover.rs
+++ b/src/direct/turnover.rs
@@ -61,12 +61,12 @@
     }
 
     /// A request begins at an endpoint.
-    pub fn begin(&mut self, now: Millis) {
+    pub fn record_start(&mut self, now: Millis) {
         note(&mut self.started, now);
     }
 
     /// A request at an endpoint ends.
-    pub fn end(&mut self, now: Millis) {
+    pub fn record_end(&mut self, now: Millis) {
         note(&mut self.ended, now);
     }
 
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -253,9 +253,9 @@
     turnover.record_active_band(0, Millis(0));
     for ms in 0..1_000 {
         turnover.record_arrival(1, Millis(ms));
-        turnover.begin(Millis(ms));
+        turnover.record_start(Millis(ms));
     }
-    turnover.end(Millis(990));
+    turnover.record_end(Millis(990));
     let recent = turnover.recent(1, Millis(100), Millis(1_000));
     assert_eq!((recent.yielding_arrivals, recent.started, recent.ended), (100, 100, 1));
     assert_eq!(
