--- a/src/direct/admission.rs
+++ b/src/direct/admission.rs
@@ -34,7 +34,7 @@
 /// Load pattern: more calls than the endpoints that are left can take. Each has a queue of its own, and once that
 /// is full every call in it comes just too late.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlainOutlook {
+pub struct PlainAdmission {
     /// Time until the answer at the best endpoint, by estimate, in ms.
     pub expected_ms: f64,
     /// Whether all its slots are taken; nothing is turned away while one is free.
@@ -45,7 +45,7 @@
     pub has_more_urgent: bool,
 }
 
-impl PlainOutlook {
+impl PlainAdmission {
     /// Whether the request is sent.
     pub fn is_admitted(&self) -> bool {
         let yields = if self.has_more_urgent {
@@ -60,7 +60,7 @@
 
 /// What decides whether a request is sent to a model engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outlook {
+pub struct EngineAdmission {
     /// Band of its urgency; 0 is the most urgent.
     pub band: usize,
     /// Time until its first event at the best endpoint, by estimate, in ms.
@@ -68,16 +68,16 @@
     /// Mean time that the pool's endpoints need to read the prompts that they have, in ms.
     pub backlog_ms: f64,
     /// Tightest target among the pool's routes; 0 where none is told.
-    pub tightest: Millis,
+    pub tightest_target: Millis,
     /// Time that is left.
-    pub left: Millis,
+    pub time_left: Millis,
     /// Longest time that the pool's less urgent requests have; 0 where there are none.
-    pub less_urgent: Millis,
+    pub longest_less_urgent_time: Millis,
     /// Whether the pool has more urgent kinds of requests.
     pub has_more_urgent: bool,
 }
 
-impl Outlook {
+impl EngineAdmission {
     /// Whether the request is sent.
     pub fn is_admitted(&self) -> bool {
         self.expected_ms <= self.longest_wait_ms()
@@ -86,9 +86,9 @@
     /// Longest time that it may be expected to wait, in ms: more than any less urgent request may, or a short
     /// urgent one with little time would be turned away where long ones with more time are sent.
     fn longest_wait_ms(&self) -> f64 {
-        let left = self.left.0 as f64;
+        let left = self.time_left.0 as f64;
         let own = left * self.wait_part();
-        let less_urgent = self.less_urgent.0 as f64 * least_wait_part(self.band);
+        let less_urgent = self.longest_less_urgent_time.0 as f64 * least_wait_part(self.band);
         let wait = own.max(less_urgent);
         let calm = 1.0 - self.overload();
         (wait * (1.0 + (CALM_WAIT - 1.0) * calm)).min(left)
@@ -103,10 +103,10 @@
 
     /// How overloaded the pool is, from 0 to 1.
     fn overload(&self) -> f64 {
-        if self.tightest == Millis(0) {
+        if self.tightest_target == Millis(0) {
             return 0.0;
         }
-        let backlog = self.backlog_ms / self.tightest.0 as f64;
+        let backlog = self.backlog_ms / self.tightest_target.0 as f64;
         ((backlog - CALM) / (OVERLOADED - CALM)).clamp(0.0, 1.0)
     }
 }
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -5,7 +5,7 @@
 use crate::direct::demand::{Candidate, Demand, CandidateState};
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
-use crate::direct::lanes::Lanes;
+use crate::direct::lanes::StreamPartition;
 use crate::direct::load::{Footprint, EndpointWork, BANDS};
 use crate::direct::moves::{Sources, PrefixReuse};
 use crate::direct::prefix::PrefixMap;
@@ -133,7 +133,7 @@
     if demand.pause == Millis(0) {
         return;
     }
-    let lanes = Lanes::part(all, READ_TOKENS_PER_MS);
+    let lanes = StreamPartition::part(all, READ_TOKENS_PER_MS);
     for state in all {
         state.is_reserved = lanes.is_delicate(state.candidate.key);
     }
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -13,7 +13,7 @@
 use crate::direct::directory::{Change, Directory, Listing, Revision, Standing};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
-use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
+use crate::direct::resolve::{resolve, Allowed, Denied, CatalogState};
 use crate::direct::versions::{self, Newer, WrittenPatch};
 
 /// Keys of unreadable entries that are remembered, so that each is logged once.
@@ -304,7 +304,7 @@
     pub fn allow(&self, ask: &Ask) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
-        let knowledge = Knowledge {
+        let knowledge = CatalogState {
             catalog: catalog.as_deref(),
             freshness: &freshness,
             key_proof_age: self.settings.borrow().bounds.key_proof_age(),
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -26,7 +26,7 @@
 use crate::direct::dialect::Dialect;
 use crate::direct::directory::{Directory, Revision};
 use crate::direct::freshness::Freshness;
-use crate::direct::gauge::Gauges;
+use crate::direct::gauge::EntryMetrics;
 use crate::direct::limits::Limits;
 use crate::direct::peers::{PeerBook, PeerId, RecentPlacements};
 use crate::direct::prefix::PrefixMap;
@@ -70,7 +70,7 @@
     /// Decision log.
     pub log: DecisionLog,
     /// Counters.
-    pub gauges: Gauges,
+    pub gauges: EntryMetrics,
     /// Other entries.
     pub peers: RefCell<PeerBook>,
     /// What endpoints keep of prompts.
@@ -156,7 +156,7 @@
             dialect,
             id: PeerId(rand::random()),
             log,
-            gauges: Gauges::new(),
+            gauges: EntryMetrics::new(),
             peers: RefCell::new(peers),
             prefixes: RefCell::default(),
             placements: RefCell::default(),
--- a/src/direct/gauge.rs
+++ b/src/direct/gauge.rs
@@ -18,7 +18,7 @@
 
 /// The instruments of one process.
 #[derive(Debug)]
-pub struct Gauges {
+pub struct EntryMetrics {
     registry: Registry,
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
@@ -37,7 +37,7 @@
     state: Gauge<u64>,
 }
 
-impl Gauges {
+impl EntryMetrics {
     /// Fresh instruments.
     pub fn new() -> Self {
         let registry = Registry::new();
@@ -188,7 +188,7 @@
     ]
 }
 
-impl Default for Gauges {
+impl Default for EntryMetrics {
     fn default() -> Self {
         Self::new()
     }
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -10,7 +10,7 @@
 use crate::direct::intake::Incoming;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
-use crate::direct::refuse::{self, COME_BACK_ELSEWHERE};
+use crate::direct::refuse::{self, RETRY_ELSEWHERE_AFTER};
 use crate::direct::resolve::Denied;
 
 /// Serves a request; false when the connection is to be closed.
@@ -27,7 +27,7 @@
     progress.borrow_mut().id = ask.id.as_bytes().to_vec();
     if entry.life() == Life::Stopping {
         refuse::log(entry, &ask, incoming, RefusedWhy::Stopping, None);
-        let refusal = Refusal::NotRun(COME_BACK_ELSEWHERE);
+        let refusal = Refusal::NotRun(RETRY_ELSEWHERE_AFTER);
         return refuse::write(entry, answerer, refusal, Some(&ask)).await;
     }
     let allowed = match entry.allow(&ask) {
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use crate::clock::Millis;
-use crate::direct::admission::{Outlook, PlainOutlook};
+use crate::direct::admission::{EngineAdmission, PlainAdmission};
 use crate::direct::choose::{self, Choice};
 use crate::direct::decision::RefusedWhy;
 use crate::direct::demand::{Candidate, Demand};
@@ -70,21 +70,21 @@
         })
     }
 
-    fn outlook(&self, choice: &Choice) -> Outlook {
+    fn outlook(&self, choice: &Choice) -> EngineAdmission {
         let band = self.band();
-        Outlook {
+        EngineAdmission {
             band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: self.catalog.tightest_target(&self.pool),
-            left: self.end - self.entry.clock.now(),
-            less_urgent: self.catalog.less_urgent_time(&self.pool, band),
+            tightest_target: self.catalog.tightest_target(&self.pool),
+            time_left: self.end - self.entry.clock.now(),
+            longest_less_urgent_time: self.catalog.less_urgent_time(&self.pool, band),
             has_more_urgent: self.has_more_urgent(self.entry.clock.now()),
         }
     }
 
-    fn plain_outlook(&self, choice: &Choice) -> PlainOutlook {
-        PlainOutlook {
+    fn plain_outlook(&self, choice: &Choice) -> PlainAdmission {
+        PlainAdmission {
             expected_ms: choice.expected_ms,
             is_full: choice.is_full,
             target: self.route().target,
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -28,11 +28,11 @@
 
 /// The endpoints of a pool that are kept for delicate streams; empty where nothing is to be parted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Lanes {
+pub struct StreamPartition {
     reserved: HashSet<EndpointKey>,
 }
 
-impl Lanes {
+impl StreamPartition {
     /// Parts the endpoints that are well in proportion to both kinds of load; `prefill_tokens_per_ms` is the
     /// number of prompt tokens that an endpoint reads in a millisecond.
     pub fn part(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -11,7 +11,7 @@
 use crate::direct::resolve::Denied;
 
 /// Advice while this entry can't decide; another entry can.
-pub const COME_BACK_ELSEWHERE: Millis = Millis(60);
+pub const RETRY_ELSEWHERE_AFTER: Millis = Millis(60);
 
 /// Refuses a request that may not run.
 pub async fn deny(
@@ -25,7 +25,7 @@
     let refusal = match denied {
         Denied::NoRoute => Refusal::NoRoute,
         Denied::NoKey => Refusal::NoKey,
-        Denied::NoCatalog | Denied::StaleCatalog => Refusal::NotRun(COME_BACK_ELSEWHERE),
+        Denied::NoCatalog | Denied::StaleCatalog => Refusal::NotRun(RETRY_ELSEWHERE_AFTER),
     };
     write(entry, answerer, refusal, Some(ask)).await
 }
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -9,7 +9,7 @@
 
 /// What this process knows, with its age.
 #[derive(Debug, Clone, Copy)]
-pub struct Knowledge<'a> {
+pub struct CatalogState<'a> {
     /// The configuration in force; `None` before the first one.
     pub catalog: Option<&'a Catalog>,
     /// When it was last proven to be the newest.
@@ -45,7 +45,7 @@
 ///
 /// A denial is only told when the configuration is fresh; otherwise it may be a newer one that
 /// allows the request.
-pub fn resolve(knowledge: Knowledge<'_>, ask: &Ask, now: Millis) -> Result<Allowed, Denied> {
+pub fn resolve(knowledge: CatalogState<'_>, ask: &Ask, now: Millis) -> Result<Allowed, Denied> {
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
         .key_proof_age
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,16 +1,16 @@
 //! Which requests are turned away, by the backlog of their pool and the time that they have.
 
 use violetline::clock::Millis;
-use violetline::direct::admission::{Outlook, PlainOutlook};
+use violetline::direct::admission::{EngineAdmission, PlainAdmission};
 
-fn outlook(backlog_ms: f64, expected_ms: f64) -> Outlook {
-    Outlook {
+fn outlook(backlog_ms: f64, expected_ms: f64) -> EngineAdmission {
+    EngineAdmission {
         band: 2,
         expected_ms,
         backlog_ms,
-        tightest: Millis(300),
-        left: Millis(4_000),
-        less_urgent: Millis(0),
+        tightest_target: Millis(300),
+        time_left: Millis(4_000),
+        longest_less_urgent_time: Millis(0),
         has_more_urgent: false,
     }
 }
@@ -21,20 +21,20 @@
     for backlog in [0.0, 150.0, 300.0, 900.0] {
         for ms in (0..3_000).step_by(50) {
             let expected = f64::from(ms);
-            let less = Outlook {
-                left: Millis(5_000),
+            let less = EngineAdmission {
+                time_left: Millis(5_000),
                 has_more_urgent: true,
                 ..outlook(backlog, expected)
             };
-            let urgent = Outlook {
+            let urgent = EngineAdmission {
                 band: 1,
-                left: Millis(3_000),
-                less_urgent: Millis(5_000),
+                time_left: Millis(3_000),
+                longest_less_urgent_time: Millis(5_000),
                 ..outlook(backlog, expected)
             };
-            let of_team = Outlook {
+            let of_team = EngineAdmission {
                 band: 0,
-                less_urgent: Millis(5_000),
+                longest_less_urgent_time: Millis(5_000),
                 ..less
             };
             assert!(
@@ -56,10 +56,10 @@
     for backlog in [0.0, 150.0, 300.0, 900.0] {
         for ms in (0..3_000).step_by(50) {
             let expected = f64::from(ms);
-            let of_band = |band: usize, factor: f64| Outlook {
+            let of_band = |band: usize, factor: f64| EngineAdmission {
                 band,
-                left: Millis([15_000, 3_000, 5_000][band]),
-                less_urgent: Millis([5_000, 5_000, 0][band]),
+                time_left: Millis([15_000, 3_000, 5_000][band]),
+                longest_less_urgent_time: Millis([5_000, 5_000, 0][band]),
                 has_more_urgent: band > 0,
                 ..outlook(backlog, (expected * factor).min(2_900.0))
             };
@@ -105,8 +105,8 @@
 /// Without anything told of targets nothing is turned away for its pool's backlog alone.
 #[test]
 fn no_target_told() {
-    let outlook = Outlook {
-        tightest: Millis(0),
+    let outlook = EngineAdmission {
+        tightest_target: Millis(0),
         ..outlook(9_000.0, 2_000.0)
     };
     assert!(outlook.is_admitted());
@@ -115,8 +115,8 @@
 /// Who has hardly any time left is told so at once.
 #[test]
 fn hopeless_refused() {
-    let hopeless = Outlook {
-        left: Millis(100),
+    let hopeless = EngineAdmission {
+        time_left: Millis(100),
         ..outlook(0.0, 400.0)
     };
     assert!(!hopeless.is_admitted());
@@ -125,19 +125,19 @@
 /// Nothing is turned away from a plain service while a slot is free.
 #[test]
 fn free_slot_admits() {
-    let outlook = PlainOutlook {
+    let outlook = PlainAdmission {
         expected_ms: 900.0,
         is_full: false,
         target: Millis(300),
         has_more_urgent: false,
     };
     assert!(outlook.is_admitted());
-    let full = PlainOutlook {
+    let full = PlainAdmission {
         is_full: true,
         ..outlook
     };
     assert!(!full.is_admitted());
-    let in_time = PlainOutlook {
+    let in_time = PlainAdmission {
         expected_ms: 200.0,
         ..full
     };
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -9,7 +9,7 @@
 use violetline::direct::demand::{Candidate, Demand, CandidateState};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, HealthRecord};
-use violetline::direct::lanes::Lanes;
+use violetline::direct::lanes::StreamPartition;
 use violetline::direct::load::{Footprint, EndpointLoad};
 use violetline::direct::prefix::{PromptSegment, PrefixMap};
 use violetline::direct::room::RoomInputs;
@@ -65,7 +65,7 @@
     /// Positions of the endpoints that are kept for delicate streams.
     fn kept(&self) -> Vec<usize> {
         let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
-        let lanes = Lanes::part(&all, READS);
+        let lanes = StreamPartition::part(&all, READS);
         let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
         (0..self.keys.len()).filter(is_kept).collect()
     }
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -8,7 +8,7 @@
 use violetline::direct::catalog::{Catalog, Route};
 use violetline::direct::dialect::Ask;
 use violetline::direct::freshness::Freshness;
-use violetline::direct::resolve::{resolve, Allowed, Denied, Knowledge};
+use violetline::direct::resolve::{resolve, Allowed, Denied, CatalogState};
 
 const BOUND: Millis = Millis(4_750);
 
@@ -39,7 +39,7 @@
     if let Some(at) = proven {
         freshness.prove(Millis(at));
     }
-    let knowledge = Knowledge {
+    let knowledge = CatalogState {
         catalog: Some(&catalog),
         freshness: &freshness,
         key_proof_age: Some(BOUND),
@@ -78,7 +78,7 @@
 
 #[test]
 fn before_first_catalog() {
-    let knowledge = Knowledge {
+    let knowledge = CatalogState {
         catalog: None,
         freshness: &Freshness::default(),
         key_proof_age: None,
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::admission::Outlook;
+use violetline::direct::admission::EngineAdmission;
 use violetline::direct::catalog::{EngineShape, MoveShape};
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
@@ -316,13 +316,13 @@
             return;
         };
         let of = CLASSES[ask.class];
-        let outlook = Outlook {
+        let outlook = EngineAdmission {
             band: of.band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: Millis(300),
-            left: Millis((ask.first_sent + of.patience).saturating_sub(now)),
-            less_urgent: Millis([4_000, 4_000, 0][of.band]),
+            tightest_target: Millis(300),
+            time_left: Millis((ask.first_sent + of.patience).saturating_sub(now)),
+            longest_less_urgent_time: Millis([4_000, 4_000, 0][of.band]),
             has_more_urgent: of.band > 0,
         };
         if self.turns_away && !outlook.is_admitted() {
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::admission::PlainOutlook;
+use violetline::direct::admission::PlainAdmission;
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, Listed};
@@ -63,7 +63,7 @@
             };
             let one = std::iter::once(candidate);
             let choice = choose(demand(), one, &PrefixMap::default(), at).unwrap();
-            let outlook = PlainOutlook {
+            let outlook = PlainAdmission {
                 expected_ms: choice.expected_ms,
                 is_full: choice.is_full,
                 target: TARGET,
