--- a/src/direct/budget.rs
+++ b/src/direct/budget.rs
@@ -14,7 +14,7 @@
 
 /// What all entries together may send again to one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allowance {
+pub struct RetryBudget {
     /// Length of the window that slides.
     pub window: Millis,
     /// Repeats per first request in a window.
@@ -34,7 +34,7 @@
 
 impl RetryWindow {
     /// A request that the pool is to serve was read.
-    pub fn first(&mut self, now: Millis, allowance: Allowance) {
+    pub fn first(&mut self, now: Millis, allowance: RetryBudget) {
         self.expire(now, allowance);
         self.firsts.push_back(now);
     }
@@ -45,7 +45,7 @@
     pub fn take(
         &mut self,
         now: Millis,
-        allowance: Allowance,
+        allowance: RetryBudget,
         entries: usize,
         leaves_some: bool,
     ) -> bool {
@@ -66,7 +66,7 @@
     }
 
     /// Forgets what is older than the window.
-    fn expire(&mut self, now: Millis, allowance: Allowance) {
+    fn expire(&mut self, now: Millis, allowance: RetryBudget) {
         let from = now - allowance.window;
         for queue in [&mut self.firsts, &mut self.repeats] {
             while queue.front().is_some_and(|at| *at < from) {
--- a/src/direct/cordons.rs
+++ b/src/direct/cordons.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Word {
     revision: Revision,
-    holds: bool,
+    is_cordoned: bool,
 }
 
 /// All zones of which anything was said.
@@ -26,13 +26,13 @@
 
 impl Cordons {
     /// Whether a zone is cordoned.
-    pub fn holds(&self, zone: &str) -> bool {
-        self.words.get(zone).is_some_and(|word| word.holds)
+    pub fn is_cordoned(&self, zone: &str) -> bool {
+        self.words.get(zone).is_some_and(|word| word.is_cordoned)
     }
 
     /// All zones that are cordoned.
     pub fn standing(&self) -> impl Iterator<Item = Cordon> + '_ {
-        let held = self.words.iter().filter(|(_, word)| word.holds);
+        let held = self.words.iter().filter(|(_, word)| word.is_cordoned);
         held.map(|(zone, word)| Cordon {
             zone: zone.clone(),
             revision: word.revision,
@@ -67,7 +67,7 @@
         let newer = all.iter().filter(|cordon| cordon.revision > before);
         let ending = self.missing_from(all, begun).into_iter();
         let ending = ending.map(|zone| (zone, begun));
-        let ended = self.words.iter().filter(|(_, word)| !word.holds);
+        let ended = self.words.iter().filter(|(_, word)| !word.is_cordoned);
         let ended = ended.map(|(zone, word)| (zone.clone(), word.revision));
         let ended = ended.filter(|(_, revision)| *revision > before);
         let ends = ending.chain(ended);
@@ -78,21 +78,21 @@
     /// Zones that are cordoned here by a word from before `revision`, and not in `all`.
     fn missing_from(&self, all: &[Cordon], revision: Revision) -> Vec<String> {
         let stands = |zone: &str| all.iter().any(|cordon| cordon.zone == zone);
-        let held = self.words.iter().filter(|(_, word)| word.holds);
+        let held = self.words.iter().filter(|(_, word)| word.is_cordoned);
         held.filter(|(zone, word)| word.revision <= revision && !stands(zone))
             .map(|(zone, _)| zone.clone())
             .collect()
     }
 
     /// Takes a word unless a newer one is known; true when it ended a cordon.
-    fn say(&mut self, zone: String, revision: Revision, holds: bool) -> bool {
+    fn say(&mut self, zone: String, revision: Revision, is_cordoned: bool) -> bool {
         let known = self.words.get(&zone).copied();
         let is_new = known.is_none_or(|word| word.revision <= revision);
         let has_room = known.is_some() || self.words.len() < MOST_ZONES;
         if !is_new || !has_room {
             return false;
         }
-        self.words.insert(zone, Word { revision, holds });
-        !holds && known.is_some_and(|word| word.holds)
+        self.words.insert(zone, Word { revision, is_cordoned });
+        !is_cordoned && known.is_some_and(|word| word.is_cordoned)
     }
 }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -151,7 +151,7 @@
     /// Counts the entries that serve now for the shares of endpoints that warm up.
     pub(super) fn see_fleet(&self) {
         let mut fleet = self.fleet.get();
-        fleet.saw(self.peers.borrow().entries(self.clock.now()));
+        fleet.observe(self.peers.borrow().entries(self.clock.now()));
         self.fleet.set(fleet);
     }
 
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -212,7 +212,7 @@
     /// Whether the balancer should send connections: requests can be decided and are wanted.
     pub fn is_ready(&self) -> bool {
         let bound = self.settings.borrow().bounds.key_proof_age();
-        let fresh = bound.is_none_or(|b| self.freshness.get().within(self.clock.now(), b));
+        let fresh = bound.is_none_or(|b| self.freshness.get().is_younger_than(self.clock.now(), b));
         self.life() == Life::Serving && self.listed.get() && self.version() > 0 && fresh
     }
 
--- a/src/direct/freshness.rs
+++ b/src/direct/freshness.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the proof is younger than `bound`.
-    pub fn within(&self, now: Millis, bound: Millis) -> bool {
+    pub fn is_younger_than(&self, now: Millis, bound: Millis) -> bool {
         self.age(now).is_some_and(|age| age < bound)
     }
 }
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -49,7 +49,7 @@
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
         .key_proof_age
-        .is_none_or(|bound| knowledge.freshness.within(now, bound));
+        .is_none_or(|bound| knowledge.freshness.is_younger_than(now, bound));
     let Some(route) = catalog.route(&ask.host, &ask.path) else {
         return Err(when_fresh(fresh, Denied::NoRoute));
     };
--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
-use crate::direct::budget::Allowance;
+use crate::direct::budget::RetryBudget;
 use crate::direct::warmup::Excess;
 use crate::finding::Findings;
 use crate::settings::Checked;
@@ -97,8 +97,8 @@
     }
 
     /// The retry budget over all entries.
-    pub fn retries(&self) -> Allowance {
-        Allowance {
+    pub fn retries(&self) -> RetryBudget {
+        RetryBudget {
             window: Millis(self.retry_window_ms),
             ratio: self.retry_ratio,
             extra: self.retry_extra,
--- a/src/direct/warmup.rs
+++ b/src/direct/warmup.rs
@@ -51,7 +51,7 @@
 
 impl FleetSize {
     /// So many entries serve now, this one included.
-    pub fn saw(&mut self, entries: usize) {
+    pub fn observe(&mut self, entries: usize) {
         self.most = self.most.max(entries);
     }
 
--- a/tests/direct_budget.rs
+++ b/tests/direct_budget.rs
@@ -1,9 +1,9 @@
 //! The retry budget that all entries keep without asking each other.
 
 use violetline::clock::Millis;
-use violetline::direct::budget::{Allowance, RetryWindow};
+use violetline::direct::budget::{RetryBudget, RetryWindow};
 
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: RetryBudget = RetryBudget {
     window: Millis(10_000),
     ratio: 0.2,
     extra: 52.0,
--- a/tests/direct_freshness.rs
+++ b/tests/direct_freshness.rs
@@ -7,7 +7,7 @@
 fn unproven_never_fresh() {
     let freshness = Freshness::default();
     assert_eq!(freshness.age(Millis(5)), None);
-    assert!(!freshness.within(Millis(5), Millis(10_000)));
+    assert!(!freshness.is_younger_than(Millis(5), Millis(10_000)));
 }
 
 #[test]
@@ -15,8 +15,8 @@
     let mut freshness = Freshness::default();
     freshness.prove(Millis(1_000));
     assert_eq!(freshness.age(Millis(4_000)), Some(Millis(3_000)));
-    assert!(freshness.within(Millis(4_000), Millis(3_001)));
-    assert!(!freshness.within(Millis(4_000), Millis(3_000)));
+    assert!(freshness.is_younger_than(Millis(4_000), Millis(3_001)));
+    assert!(!freshness.is_younger_than(Millis(4_000), Millis(3_000)));
 }
 
 #[test]
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -79,8 +79,8 @@
 #[test]
 fn cut_off_entries() {
     let mut fleet = FleetSize::default();
-    fleet.saw(30);
-    fleet.saw(1);
+    fleet.observe(30);
+    fleet.observe(1);
     let sharers = fleet.sharers(Millis(60_000), true);
     assert_eq!(sharers, 30);
     for n in 0..200 {
@@ -93,11 +93,11 @@
 #[test]
 fn fresh_entry() {
     let mut fleet = FleetSize::default();
-    fleet.saw(1);
+    fleet.observe(1);
     assert!(fleet.sharers(Millis(200), true) > 30);
     assert_eq!(fleet.sharers(Millis(200), false), 1, "there are no others");
     assert!(fleet.sharers(Millis(5_000), true) > 30, "it may be cut off");
-    fleet.saw(3);
+    fleet.observe(3);
     assert_eq!(fleet.sharers(Millis(5_000), true), 3);
 }
 
