--- a/src/direct/cordons.rs
+++ b/src/direct/cordons.rs
@@ -31,7 +31,7 @@
     }
 
     /// All zones that are cordoned.
-    pub fn standing(&self) -> impl Iterator<Item = Cordon> + '_ {
+    pub fn active(&self) -> impl Iterator<Item = Cordon> + '_ {
         let held = self.words.iter().filter(|(_, word)| word.is_cordoned);
         held.map(|(zone, word)| Cordon {
             zone: zone.clone(),
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -324,7 +324,7 @@
         let listed = self.arena.values().filter(is_listed);
         Listing {
             endpoints: listed.map(|e| e.listed.clone()).collect(),
-            cordons: self.cordons.standing().collect(),
+            cordons: self.cordons.active().collect(),
         }
     }
 
