--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -8,7 +8,7 @@
 use violetline::direct::directory::{Change, Directory, Listed};
 use violetline::direct::health::HealthRecord;
 use violetline::direct::load::EndpointLoad;
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
@@ -40,7 +40,7 @@
     }
     let mut prefixes = PrefixMap::default();
     for (key, _) in directory.iter().step_by(3) {
-        prefixes.note(key, [1, 2].into_iter(), NOW, NOW);
+        prefixes.record_use(key, [1, 2].into_iter(), NOW, NOW);
     }
     let (load, record) = (EndpointLoad::default(), HealthRecord::default());
     let tokens = [2_500, 3_800, 2_900];
--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -2,12 +2,12 @@
 //! prompt's kept parts from its own memory or moved there, see [`crate::direct::moves`].
 
 use crate::clock::Millis;
-use crate::direct::demand::{Candidate, Demand, CandidateState};
+use crate::direct::demand::{Candidate, CandidateState, Demand};
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 use crate::direct::lanes::StreamPartition;
-use crate::direct::load::{Footprint, EndpointWork, BANDS};
-use crate::direct::moves::{Sources, PrefixReuse};
+use crate::direct::load::{EndpointWork, Footprint, BANDS};
+use crate::direct::moves::{PrefixReuse, Sources};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::price::{self, READ_TOKENS_PER_MS};
 use crate::direct::room::PoolRoom;
@@ -54,11 +54,13 @@
     prefixes: &PrefixMap,
     now: Millis,
 ) -> Option<Choice> {
-    let mut all: Vec<CandidateState<'a>> = candidates.map(|c| see(&demand, c, prefixes, now)).collect();
+    let mut all: Vec<CandidateState<'a>> =
+        candidates.map(|c| see(&demand, c, prefixes, now)).collect();
     keep_for_streams(&demand, &mut all);
     mark_home(&demand, &mut all);
     let backlog_ms = price::backlog_ms(&all);
-    let most_urgent_unread_band = (0..BANDS).find(|band| all.iter().any(|state| state.total.unread[*band] > 0));
+    let most_urgent_unread_band =
+        (0..BANDS).find(|band| all.iter().any(|state| state.total.unread[*band] > 0));
     let room = demand.room.in_pool(&all, now);
     let mut best: Option<(Rank, Choice)> = None;
     let sources = Sources::find(&demand, &all, now);
@@ -103,7 +105,7 @@
     let cached = prefixes.cached(candidate.key, demand.parts, kept_since, now);
     CandidateState {
         cached_tokens: cached.sent,
-        transferable_tokens: cached.read,
+        transferable_tokens: cached.prefilled,
         candidate,
         total,
         is_reserved: false,
@@ -118,7 +120,8 @@
         return;
     }
     let most_known = all.iter().map(|state| state.cached_tokens).max();
-    let weight = |state: &&mut CandidateState<'_>| demand.home_weight(state.candidate.endpoint.digest);
+    let weight =
+        |state: &&mut CandidateState<'_>| demand.home_weight(state.candidate.endpoint.digest);
     let well = all
         .iter_mut()
         .filter(|state| !state.candidate.record.is_ejected());
@@ -149,7 +152,12 @@
 }
 
 /// The estimate for one endpoint, and what the request would add there.
-fn estimate(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: PrefixReuse, now: Millis) -> Choice {
+fn estimate(
+    demand: &Demand<'_>,
+    state: &CandidateState<'_>,
+    reuse: PrefixReuse,
+    now: Millis,
+) -> Choice {
     let candidate = &state.candidate;
     let prompt = demand.prompt_tokens();
     let unread = prompt - reuse.spared();
--- a/src/direct/cordons.rs
+++ b/src/direct/cordons.rs
@@ -92,7 +92,13 @@
         if !is_new || !has_room {
             return false;
         }
-        self.words.insert(zone, Word { revision, is_cordoned });
+        self.words.insert(
+            zone,
+            Word {
+                revision,
+                is_cordoned,
+            },
+        );
         !is_cordoned && known.is_some_and(|word| word.is_cordoned)
     }
 }
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -355,7 +355,9 @@
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.standing(now).is_none();
-        is_willing && endpoint.standing.is_open() && !self.cordons.is_cordoned(&endpoint.listed.zone)
+        is_willing
+            && endpoint.standing.is_open()
+            && !self.cordons.is_cordoned(&endpoint.listed.zone)
     }
 
     /// The endpoints of a zone that takes work again may have to warm up.
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -12,7 +12,7 @@
 use crate::direct::directory::{Endpoint, EndpointKey, Standing};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
 use crate::direct::health::{Fault, HealthRecord};
-use crate::direct::load::{Footprint, EndpointLoad};
+use crate::direct::load::{EndpointLoad, Footprint};
 use crate::direct::turnover::PoolActivity;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
--- a/src/direct/entry/beliefs.rs
+++ b/src/direct/entry/beliefs.rs
@@ -13,7 +13,7 @@
 use crate::direct::directory::{Change, Directory, Listing, Revision, Standing};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
-use crate::direct::resolve::{resolve, Allowed, Denied, CatalogState};
+use crate::direct::resolve::{resolve, Allowed, CatalogState, Denied};
 use crate::direct::versions::{self, Newer, WrittenPatch};
 
 /// Keys of unreadable entries that are remembered, so that each is logged once.
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -12,7 +12,7 @@
 use crate::direct::entry::{Entry, Fetch, Life};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
-use crate::direct::load::{EndpointLoad, LoadSource, EndpointWork};
+use crate::direct::load::{EndpointLoad, EndpointWork, LoadSource};
 use crate::direct::peers::{self, Covers, Hello, Tell, FAR_BYTES, MOST_BYTES, ROUND};
 use crate::quarantine::{Notice, MOST_NOTICES};
 
@@ -314,7 +314,7 @@
     let mut of_zone = entry.zone_placements.borrow_mut();
     for placed in &hello.placed {
         if let Some(key) = directory.by_digest(placed.endpoint) {
-            prefixes.note(key, std::iter::once(placed.part), now, now);
+            prefixes.record_use(key, std::iter::once(placed.part), now, now);
         }
         if hello.covers == Covers::Sender {
             of_zone.hear(*placed, now);
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -239,7 +239,7 @@
         let now = self.entry.clock.now();
         placed.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
-        self.entry.prefixes.borrow_mut().read(choice.key, ids, now);
+        self.entry.prefixes.borrow_mut().record_prefill(choice.key, ids, now);
         self.entry.account(choice.key, |account| {
             account.hear(now);
             account.record.began(now, now - sent_at, choice.nominal_ms);
--- a/src/direct/job/room.rs
+++ b/src/direct/job/room.rs
@@ -47,14 +47,16 @@
     /// Takes note that the request comes to its pool.
     pub(super) fn note_coming(&self) {
         let (band, now) = (self.band(), self.entry.clock.now());
-        self.entry.turnover(&self.pool, |t| t.record_arrival(band, now));
+        self.entry
+            .turnover(&self.pool, |t| t.record_arrival(band, now));
     }
 
     /// Takes note of the most urgent requests at the pool's endpoints, of all entries.
     pub(super) fn note_read(&self, choice: &Choice) {
         if let Some(band) = choice.most_urgent_unread_band {
             let now = self.entry.clock.now();
-            self.entry.turnover(&self.pool, |t| t.record_active_band(band, now));
+            self.entry
+                .turnover(&self.pool, |t| t.record_active_band(band, now));
         }
     }
 
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -200,7 +200,7 @@
         let mut prefixes = self.entry.prefixes.borrow_mut();
         let read_at = now + Millis(choice.expected_ms as u64);
         let ids = parts.iter().map(|part| part.id);
-        prefixes.note(choice.key, ids, now, read_at);
+        prefixes.record_use(choice.key, ids, now, read_at);
         let shared = parts.len().checked_sub(2).map(|last| parts[last].id);
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key).map(|e| e.digest);
@@ -230,7 +230,8 @@
             return Ok(reply);
         }
         if !self.was_heard(key, sent_at) && silent_at < last_word {
-            self.entry.endpoint_failed(key, Fault::Unreachable, "silent");
+            self.entry
+                .endpoint_failed(key, Fault::Unreachable, "silent");
             if self.may_repeat() && self.has_attempts() {
                 self.log_failed(key, "silent", true);
                 return Err(Attempt::Lost(key));
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -75,7 +75,8 @@
         for state in all {
             let work = &state.total;
             let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
-            needs.writing += load::stream_equivalents(work.pause_sensitivity) / (slots * STREAMS_PART);
+            needs.writing +=
+                load::stream_equivalents(work.pause_sensitivity) / (slots * STREAMS_PART);
             needs.reading += work.prefill_tokens_per_ms() / (prefill_tokens_per_ms * READING_PART);
         }
         needs
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -94,7 +94,9 @@
             running: self.running.saturating_add(other.running),
             unread,
             held: self.held.saturating_add(other.held),
-            pause_sensitivity: self.pause_sensitivity.saturating_add(other.pause_sensitivity),
+            pause_sensitivity: self
+                .pause_sensitivity
+                .saturating_add(other.pause_sensitivity),
             pressure: self.pressure.saturating_add(other.pressure),
         }
     }
@@ -186,11 +188,20 @@
     pub fn end(&mut self, footprint: Footprint) {
         self.own.running = self.own.running.saturating_sub(1);
         self.own.held = self.own.held.saturating_sub(footprint.held);
-        self.own.pause_sensitivity = self.own.pause_sensitivity.saturating_sub(footprint.pause_sensitivity);
+        self.own.pause_sensitivity = self
+            .own
+            .pause_sensitivity
+            .saturating_sub(footprint.pause_sensitivity);
     }
 
     /// Work there was told; it counts for `lasts` unless it is told anew.
-    pub fn record_remote(&mut self, teller: LoadSource, work: EndpointWork, lasts: Millis, now: Millis) {
+    pub fn record_remote(
+        &mut self,
+        teller: LoadSource,
+        work: EndpointWork,
+        lasts: Millis,
+        now: Millis,
+    ) {
         self.remote.retain(|told| told.teller != teller);
         self.remote.push(RemoteWork {
             teller,
--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 
 use crate::clock::Millis;
-use crate::direct::demand::{Demand, CandidateState};
+use crate::direct::demand::{CandidateState, Demand};
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 
@@ -80,7 +80,10 @@
         if demand.engine.and_then(|engine| engine.moves).is_none() {
             return found;
         }
-        for state in all.iter().filter(|state| state.transferable_tokens >= LEAST_TOKENS) {
+        for state in all
+            .iter()
+            .filter(|state| state.transferable_tokens >= LEAST_TOKENS)
+        {
             // One that has named a limit is in need: what is taken from it would count as well.
             let gives = !state.candidate.is_limited;
             if gives && state.candidate.record.grade(now) == Grade::Good {
@@ -99,7 +102,9 @@
     pub fn reuse(&self, target: &CandidateState<'_>) -> Option<PrefixReuse> {
         let is_other = |source: &Source| source.key != target.candidate.key;
         let source = self.best.filter(is_other).or(self.next)?;
-        let moved = source.transferable_tokens.saturating_sub(target.cached_tokens);
+        let moved = source
+            .transferable_tokens
+            .saturating_sub(target.cached_tokens);
         (moved >= LEAST_TOKENS).then_some(PrefixReuse {
             cached: target.cached_tokens,
             moved,
@@ -108,7 +113,13 @@
     }
 
     fn add(&mut self, source: Source) {
-        let rank = |source: &Source| (source.transferable_tokens, Reverse(source.unread), source.draw);
+        let rank = |source: &Source| {
+            (
+                source.transferable_tokens,
+                Reverse(source.unread),
+                source.draw,
+            )
+        };
         if self.best.is_none_or(|best| rank(&source) > rank(&best)) {
             self.next = self.best.replace(source);
         } else if self.next.is_none_or(|next| rank(&source) > rank(&next)) {
--- a/src/direct/prefix.rs
+++ b/src/direct/prefix.rs
@@ -37,7 +37,7 @@
     /// Those that were sent there: it has read them, or will have before it reads what comes after.
     pub sent: u64,
     /// Those that it has read.
-    pub read: u64,
+    pub prefilled: u64,
 }
 
 /// The estimate for all endpoints.
@@ -69,7 +69,7 @@
             if last.at >= kept_since {
                 cached.sent = tokens;
                 if last.read_at <= now {
-                    cached.read = tokens;
+                    cached.prefilled = tokens;
                 }
             }
         }
@@ -82,7 +82,7 @@
     }
 
     /// An endpoint has read the parts that were sent to it.
-    pub fn read(&mut self, endpoint: EndpointKey, parts: impl Iterator<Item = u64>, now: Millis) {
+    pub fn record_prefill(&mut self, endpoint: EndpointKey, parts: impl Iterator<Item = u64>, now: Millis) {
         for part in parts {
             let Some(uses) = self.uses.get_mut(&part) else {
                 continue;
@@ -95,7 +95,7 @@
 
     /// A prompt with these parts was sent to an endpoint, by this entry or a peer, which will have
     /// read them at `read_at`.
-    pub fn note(
+    pub fn record_use(
         &mut self,
         endpoint: EndpointKey,
         parts: impl Iterator<Item = u64>,
--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -2,7 +2,7 @@
 //! event, and what it costs the requests beside it.
 
 use crate::clock::Millis;
-use crate::direct::demand::{Candidate, Demand, CandidateState};
+use crate::direct::demand::{Candidate, CandidateState, Demand};
 use crate::direct::load::{stream_equivalents, EndpointWork, BANDS, FULL_STREAM};
 use crate::direct::moves::PrefixReuse;
 
@@ -78,13 +78,23 @@
 const WARMING_MS: f64 = 60.0;
 
 /// Time until the first event, by estimate.
-pub fn expected_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+pub fn expected_ms(
+    demand: &Demand<'_>,
+    state: &CandidateState<'_>,
+    reuse: &PrefixReuse,
+    now: Millis,
+) -> f64 {
     let slowness = state.candidate.record.slowness(now);
     time_ms(demand, state, reuse, now) * slowness
 }
 
 /// Price of an endpoint: the time until the first event, and what the request costs others.
-pub fn price_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+pub fn price_ms(
+    demand: &Demand<'_>,
+    state: &CandidateState<'_>,
+    reuse: &PrefixReuse,
+    now: Millis,
+) -> f64 {
     let unread = demand.prompt_tokens() - reuse.spared();
     own_ms(demand, expected_ms(demand, state, reuse, now))
         + full_ms(demand, state)
@@ -164,7 +174,12 @@
 
 /// Time until the first event if the endpoint were as fast as estimated: reading what goes before
 /// and the request itself, a move, the batch, and what waits.
-pub fn time_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse, now: Millis) -> f64 {
+pub fn time_ms(
+    demand: &Demand<'_>,
+    state: &CandidateState<'_>,
+    reuse: &PrefixReuse,
+    now: Millis,
+) -> f64 {
     let (candidate, total) = (&state.candidate, state.total);
     let unread = demand.prompt_tokens() - reuse.spared();
     if demand.engine.is_none() {
@@ -256,6 +271,10 @@
     } else {
         OTHER_ZONE_MS
     };
-    let warming = if candidate.is_warming { WARMING_MS } else { 0.0 };
+    let warming = if candidate.is_warming {
+        WARMING_MS
+    } else {
+        0.0
+    };
     zone + warming
 }
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -59,7 +59,8 @@
         let turned_away = self.recent.rejected_fraction * TURNED_AWAY;
         let mut room = PoolRoom {
             more_urgent_bands: self.more_urgent_bands,
-            left_part: (LEFT_FREE * self.more_urgent_bands as f64 + turned_away).min(MOST_LEFT_FREE),
+            left_part: (LEFT_FREE * self.more_urgent_bands as f64 + turned_away)
+                .min(MOST_LEFT_FREE),
             unseen: self.recent.started as f64 * others,
             free: 0.0,
             admitted_fraction: 1.0,
@@ -69,7 +70,8 @@
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
         let left = (own - self.recent.more_urgent_arrivals as f64).max(0.0);
-        room.admitted_fraction = left / self.recent.yielding_arrivals.max(1) as f64 * self.held_back();
+        room.admitted_fraction =
+            left / self.recent.yielding_arrivals.max(1) as f64 * self.held_back();
         room
     }
 
--- a/src/direct/turnover.rs
+++ b/src/direct/turnover.rs
@@ -101,7 +101,9 @@
         let since = now - visibility_delay;
         let more_urgent_arrivals = self.yielding_arrivals[..band].iter();
         RecentActivity {
-            more_urgent_arrivals: more_urgent_arrivals.map(|yielding_arrivals| count(yielding_arrivals, since)).sum(),
+            more_urgent_arrivals: more_urgent_arrivals
+                .map(|yielding_arrivals| count(yielding_arrivals, since))
+                .sum(),
             yielding_arrivals: count(&self.yielding_arrivals[band], since),
             started: count(&self.started, since),
             ended: count(&self.ended, since),
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -9,8 +9,8 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, Grade, HealthRecord};
-use violetline::direct::load::{Footprint, EndpointLoad, EndpointReport};
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::load::{EndpointLoad, EndpointReport, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
@@ -104,7 +104,7 @@
     for i in 0..3 {
         let key = pool.key(i);
         pool.prefixes.forget(key);
-        pool.prefixes.note(key, ids(&other), NOW, NOW);
+        pool.prefixes.record_use(key, ids(&other), NOW, NOW);
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.key, key);
         assert_eq!(choice.reuse.cached, 6_300);
@@ -118,7 +118,7 @@
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(1);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     for _ in 0..12 {
         pool.loads[1].begin(footprint(9_000, 6), NOW);
     }
@@ -133,7 +133,7 @@
     let first = pool.choose(demand(&parts)).key;
     let other = (0..3).find(|i| pool.key(*i) != first).unwrap();
     let key = pool.key(other);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     pool.loads[other].begin(footprint(9_000, 6), NOW);
     assert_eq!(pool.choose(demand(&parts)).key, pool.key(other));
 }
@@ -250,7 +250,7 @@
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(0);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     let held = Footprint {
         held: 280_000,
         ..footprint(0, 0)
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -12,9 +12,9 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::{Fault, HealthRecord};
-use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
+use violetline::direct::load::{EndpointLoad, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
@@ -63,7 +63,7 @@
         let i = self.keys.iter().position(|key| *key == choice.key).unwrap();
         self.loads[i].begin(choice.footprint, now);
         let ids = demand.parts.iter().map(|part| part.id);
-        self.prefixes.note(choice.key, ids, now, now);
+        self.prefixes.record_use(choice.key, ids, now, now);
         (i, choice)
     }
 }
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -6,12 +6,12 @@
 use violetline::clock::Millis;
 use violetline::direct::catalog::EngineShape;
 use violetline::direct::choose::choose;
-use violetline::direct::demand::{Candidate, Demand, CandidateState};
+use violetline::direct::demand::{Candidate, CandidateState, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, Listed};
 use violetline::direct::health::{Fault, HealthRecord};
 use violetline::direct::lanes::StreamPartition;
-use violetline::direct::load::{Footprint, EndpointLoad};
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::load::{EndpointLoad, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
@@ -211,7 +211,10 @@
         let running = pool.loads[i].total(NOW).pause_sensitivity / 100;
         assert!(running < 64, "{running} streams at one endpoint");
     }
-    let all_take = pool.loads.iter().all(|load| load.total(NOW).pause_sensitivity > 0);
+    let all_take = pool
+        .loads
+        .iter()
+        .all(|load| load.total(NOW).pause_sensitivity > 0);
     assert!(all_take, "some endpoint takes none");
 }
 
--- a/tests/direct_load.rs
+++ b/tests/direct_load.rs
@@ -1,7 +1,7 @@
 //! The load of an endpoint: what others told of it, and for how long that counts.
 
 use violetline::clock::Millis;
-use violetline::direct::load::{EndpointLoad, LoadSource, EndpointWork};
+use violetline::direct::load::{EndpointLoad, EndpointWork, LoadSource};
 use violetline::direct::peers::{PeerId, ZoneId};
 
 const PEER: LoadSource = LoadSource::Peer(PeerId(1));
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -9,8 +9,8 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::{Fault, HealthRecord};
-use violetline::direct::load::{Footprint, EndpointLoad};
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::load::{EndpointLoad, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 use violetline::direct::turnover::RecentActivity;
 
@@ -53,7 +53,7 @@
             draw: 0,
         };
         let keeper = pool.key("a");
-        pool.prefixes.note(keeper, ids(&SHARED), NOW, NOW);
+        pool.prefixes.record_use(keeper, ids(&SHARED), NOW, NOW);
         pool.loads[0].begin(footprint(60_000), NOW);
         pool
     }
@@ -141,9 +141,9 @@
     let keeper = pool.key("a");
     pool.prefixes.forget(keeper);
     let later = NOW + Millis(300);
-    pool.prefixes.note(keeper, ids(&SHARED), NOW, later);
+    pool.prefixes.record_use(keeper, ids(&SHARED), NOW, later);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
-    pool.prefixes.read(keeper, ids(&SHARED), NOW);
+    pool.prefixes.record_prefill(keeper, ids(&SHARED), NOW);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.moved, 6_300);
 }
 
@@ -159,7 +159,7 @@
     let mut pool = Pool::new();
     let keeper = pool.key("a");
     let short = [part(5, 100), part(6, 50)];
-    pool.prefixes.note(keeper, ids(&short), NOW, NOW);
+    pool.prefixes.record_use(keeper, ids(&short), NOW, NOW);
     assert_eq!(pool.choose(&short).reuse.from, None);
 }
 
--- a/tests/direct_peers.rs
+++ b/tests/direct_peers.rs
@@ -343,7 +343,10 @@
     let (endpoint, rounded) = heard.work[0];
     assert_eq!((endpoint, rounded.running), (7, 3));
     assert_eq!((rounded.unread, rounded.held), ([64, 64, 128], 512));
-    assert_eq!((rounded.pause_sensitivity, rounded.pressure), (100, u32::MAX));
+    assert_eq!(
+        (rounded.pause_sensitivity, rounded.pressure),
+        (100, u32::MAX)
+    );
     assert_eq!(heard.work[1], (u32::MAX, EndpointWork::default()));
 }
 
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -8,7 +8,7 @@
 use violetline::direct::catalog::{Catalog, Route};
 use violetline::direct::dialect::Ask;
 use violetline::direct::freshness::Freshness;
-use violetline::direct::resolve::{resolve, Allowed, Denied, CatalogState};
+use violetline::direct::resolve::{resolve, Allowed, CatalogState, Denied};
 
 const BOUND: Millis = Millis(4_750);
 
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -15,9 +15,9 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::HealthRecord;
-use violetline::direct::load::{Footprint, EndpointLoad, LoadSource};
+use violetline::direct::load::{EndpointLoad, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{PromptSegment, PrefixMap};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
 use violetline::direct::room::RoomInputs;
 
 const STEP: Millis = Millis(5);
@@ -304,7 +304,9 @@
         let parts = ids.iter().zip(of.parts);
         Ask {
             class,
-            parts: parts.map(|(id, tokens)| PromptSegment { id: *id, tokens }).collect(),
+            parts: parts
+                .map(|(id, tokens)| PromptSegment { id: *id, tokens })
+                .collect(),
             first_sent: now,
             sent: now,
         }
@@ -337,7 +339,7 @@
         let entry = &mut self.entries[at];
         let ids = ask.parts.iter().map(|part| part.id);
         let read_at = Millis(now + choice.expected_ms as u64);
-        entry.prefixes.note(choice.key, ids, Millis(now), read_at);
+        entry.prefixes.record_use(choice.key, ids, Millis(now), read_at);
         entry.loads[engine].begin(choice.footprint, Millis(now));
         self.engines[engine].runs.push(Run {
             ask,
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -94,16 +94,22 @@
     let placed = entry.place(before, "pool", FOOTPRINT, Fingerprint(1));
     entry.endpoint_failed(before, Fault::Unreachable, "test");
     let now = clock.now();
-    let parts = [PromptSegment { id: 1, tokens: 500 }, PromptSegment { id: 2, tokens: 9 }];
+    let parts = [
+        PromptSegment { id: 1, tokens: 500 },
+        PromptSegment { id: 2, tokens: 9 },
+    ];
     let ids = parts.iter().map(|part| part.id);
-    entry.prefixes.borrow_mut().note(before, ids, now, now);
+    entry.prefixes.borrow_mut().record_use(before, ids, now, now);
     entry.take_changes(vec![Change::Put(life("a", 200, 2))], 2);
     let after = key(&entry.directory());
     let accounts = entry.accounts();
     let account = accounts.get(after).unwrap();
     assert_eq!(account.load.own(now).running, 0);
     assert!(!account.record.is_ejected());
-    let cached = entry.prefixes.borrow().cached(after, &parts, Millis(0), now);
+    let cached = entry
+        .prefixes
+        .borrow()
+        .cached(after, &parts, Millis(0), now);
     assert_eq!(cached.sent, 0);
     assert!(accounts.get(before).is_none());
     drop(accounts);
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -9,11 +9,11 @@
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
 use violetline::direct::health::HealthRecord;
-use violetline::direct::load::{Footprint, EndpointLoad, LoadSource, EndpointWork};
+use violetline::direct::load::{EndpointLoad, EndpointWork, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::PrefixMap;
 use violetline::direct::room::RoomInputs;
-use violetline::direct::turnover::{RecentActivity, PoolActivity};
+use violetline::direct::turnover::{PoolActivity, RecentActivity};
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineShape = EngineShape {
@@ -257,7 +257,10 @@
     }
     turnover.record_end(Millis(990));
     let recent = turnover.recent(1, Millis(100), Millis(1_000));
-    assert_eq!((recent.yielding_arrivals, recent.started, recent.ended), (100, 100, 1));
+    assert_eq!(
+        (recent.yielding_arrivals, recent.started, recent.ended),
+        (100, 100, 1)
+    );
     assert_eq!(
         turnover.recent(1, Millis(100), Millis(9_000)),
         RecentActivity::default()
