--- a/src/direct/health.rs
+++ b/src/direct/health.rs
@@ -129,7 +129,7 @@
     }
 
     /// An answer began after `seen` where `expected` was estimated for an endpoint of usual speed, in ms.
-    pub fn began(&mut self, now: Millis, seen: Millis, expected: f64) {
+    pub fn observe_response_time(&mut self, now: Millis, seen: Millis, expected: f64) {
         let ratio = seen.0 as f64 / expected.max(1.0);
         let mean = self.slowness(now);
         let (least, most) = SLOWNESS_RANGE;
--- a/tests/direct_health.rs
+++ b/tests/direct_health.rs
@@ -62,7 +62,7 @@
 fn slowness_forgotten() {
     let mut record = HealthRecord::default();
     for _ in 0..30 {
-        record.began(Millis(1_000), Millis(500), 100.0);
+        record.observe_response_time(Millis(1_000), Millis(500), 100.0);
     }
     assert!(record.slowness(Millis(1_000)) > 4.5);
     assert!(record.slowness(Millis(5_000)) < 3.1);
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -91,7 +91,7 @@
             };
             let seen = Millis(now + WAY - call.sent);
             loads[call.entry].end(call.choice.footprint);
-            records[call.entry].began(at, seen, call.choice.nominal_ms);
+            records[call.entry].observe_response_time(at, seen, call.choice.nominal_ms);
             loads[call.entry].record_report(report(&calls), at);
             match seen <= TARGET {
                 true => in_time += 1,
