--- a/src/direct/ends.rs
+++ b/src/direct/ends.rs
@@ -76,7 +76,7 @@
 
 impl LostRuns {
     /// A run was lost. Returns what showed that the endpoint has ended, where that is known by now.
-    pub fn lost(&mut self, run: LostRun) -> Option<EndSign> {
+    pub fn record_loss(&mut self, run: LostRun) -> Option<EndSign> {
         if self.ended.is_some() {
             return self.ended;
         }
@@ -88,13 +88,13 @@
     }
 
     /// The endpoint lives: what was lost there before did not end it.
-    pub fn heard(&mut self, now: Millis) {
+    pub fn record_contact(&mut self, now: Millis) {
         self.ended = None;
         self.runs.retain(|run| now - run.lost < READ_LATE);
     }
 
     /// The endpoint took a connection that was begun at a time: what was lost there by then did not end it.
-    pub fn connected(&mut self, begun: Millis) {
+    pub fn record_connection(&mut self, begun: Millis) {
         self.ended = None;
         self.runs.retain(|run| run.lost > begun);
     }
@@ -103,7 +103,7 @@
     ///
     /// A frozen or cut-off endpoint is silent as well, and its entry lapses: there only broken
     /// connections tell that something ended.
-    pub fn ended(&mut self, sign: EndSign, now: Millis) -> Vec<LostRun> {
+    pub fn record_end(&mut self, sign: EndSign, now: Millis) -> Vec<LostRun> {
         if sign != EndSign::Unlisted {
             self.ended = Some(sign);
         }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -58,12 +58,12 @@
     /// Something came from the endpoint.
     pub fn hear(&mut self, now: Millis) {
         self.heard = now;
-        self.lost.heard(now);
+        self.lost.record_contact(now);
     }
 
     /// It took a connection that was begun at a time.
     pub(super) fn connected(&mut self, begun: Millis) {
-        self.lost.connected(begun);
+        self.lost.record_connection(begun);
     }
 
     /// Whether it is being found out whether the endpoint has ended.
@@ -223,7 +223,7 @@
             return;
         }
         let mut ended = None;
-        self.account(key, |account| ended = account.lost.lost(run));
+        self.account(key, |account| ended = account.lost.record_loss(run));
         if let Some(sign) = ended {
             self.runs_ended_with(key, sign, &[run]);
         } else if run.how == LostHow::Broken {
@@ -246,7 +246,7 @@
     pub fn endpoint_ended(&self, key: EndpointKey, sign: EndSign) {
         let now = self.clock.now();
         let mut lost = Vec::new();
-        self.account(key, |account| lost = account.lost.ended(sign, now));
+        self.account(key, |account| lost = account.lost.record_end(sign, now));
         if !lost.is_empty() {
             self.runs_ended_with(key, sign, &lost);
         }
--- a/tests/ended_endpoints.rs
+++ b/tests/ended_endpoints.rs
@@ -20,13 +20,13 @@
 #[test]
 fn refused_connection() {
     let mut runs = LostRuns::default();
-    assert_eq!(runs.lost(lost(1, 100, LostHow::Broken)), None);
-    assert_eq!(runs.lost(lost(2, 100, LostHow::Silent)), None);
-    let ended = runs.ended(EndSign::Refused, Millis(110));
+    assert_eq!(runs.record_loss(lost(1, 100, LostHow::Broken)), None);
+    assert_eq!(runs.record_loss(lost(2, 100, LostHow::Silent)), None);
+    let ended = runs.record_end(EndSign::Refused, Millis(110));
     assert_eq!(requests(&ended), [1, 2]);
-    assert!(runs.ended(EndSign::Unlisted, Millis(3_000)).is_empty());
+    assert!(runs.record_end(EndSign::Unlisted, Millis(3_000)).is_empty());
     // One that is read only now was lost with it as well.
-    let late = runs.lost(lost(3, 120, LostHow::Broken));
+    let late = runs.record_loss(lost(3, 120, LostHow::Broken));
     assert_eq!(late, Some(EndSign::Refused));
 }
 
@@ -34,9 +34,9 @@
 #[test]
 fn silent_then_unlisted() {
     let mut runs = LostRuns::default();
-    runs.lost(lost(1, 100, LostHow::Silent));
-    runs.lost(lost(2, 100, LostHow::Broken));
-    let ended = runs.ended(EndSign::Unlisted, Millis(3_000));
+    runs.record_loss(lost(1, 100, LostHow::Silent));
+    runs.record_loss(lost(2, 100, LostHow::Broken));
+    let ended = runs.record_end(EndSign::Unlisted, Millis(3_000));
     assert_eq!(requests(&ended), [2]);
 }
 
@@ -44,12 +44,12 @@
 #[test]
 fn heard_afterwards() {
     let mut runs = LostRuns::default();
-    runs.lost(lost(1, 100, LostHow::Broken));
+    runs.record_loss(lost(1, 100, LostHow::Broken));
     // Bytes from before the end may be read just after the first broken connection.
-    runs.heard(Millis(120));
-    runs.lost(lost(2, 300, LostHow::Broken));
-    runs.heard(Millis(320));
-    let ended = runs.ended(EndSign::Refused, Millis(330));
+    runs.record_contact(Millis(120));
+    runs.record_loss(lost(2, 300, LostHow::Broken));
+    runs.record_contact(Millis(320));
+    let ended = runs.record_end(EndSign::Refused, Millis(330));
     assert_eq!(requests(&ended), [2]);
 }
 
@@ -57,15 +57,15 @@
 #[test]
 fn connected_afterwards() {
     let mut runs = LostRuns::default();
-    runs.lost(lost(1, 100, LostHow::Broken));
-    runs.connected(Millis(100));
-    runs.lost(lost(2, 101, LostHow::Broken));
-    assert_eq!(requests(&runs.ended(EndSign::Refused, Millis(110))), [2]);
+    runs.record_loss(lost(1, 100, LostHow::Broken));
+    runs.record_connection(Millis(100));
+    runs.record_loss(lost(2, 101, LostHow::Broken));
+    assert_eq!(requests(&runs.record_end(EndSign::Refused, Millis(110))), [2]);
 }
 
 #[test]
 fn lost_long_before() {
     let mut runs = LostRuns::default();
-    runs.lost(lost(1, 100, LostHow::Broken));
-    assert!(runs.ended(EndSign::Refused, Millis(20_000)).is_empty());
+    runs.record_loss(lost(1, 100, LostHow::Broken));
+    assert!(runs.record_end(EndSign::Refused, Millis(20_000)).is_empty());
 }
