--- a/src/direct/budget.rs
+++ b/src/direct/budget.rs
@@ -34,7 +34,7 @@
 
 impl RetryWindow {
     /// A request that the pool is to serve was read.
-    pub fn first(&mut self, now: Millis, allowance: RetryBudget) {
+    pub fn record_request(&mut self, now: Millis, allowance: RetryBudget) {
         self.expire(now, allowance);
         self.firsts.push_back(now);
     }
@@ -42,7 +42,7 @@
     /// Whether one more repeat may be sent by one of `entries` entries; counts it. With `leaves_some`, a part is left to more
     /// urgent requests: while endpoints turn away, less urgent ones would use all of it.
     #[must_use]
-    pub fn take(
+    pub fn try_take(
         &mut self,
         now: Millis,
         allowance: RetryBudget,
@@ -61,7 +61,7 @@
     }
 
     /// Repeats sent within the window.
-    pub fn repeats(&self) -> usize {
+    pub fn retries(&self) -> usize {
         self.repeats.len()
     }
 
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -260,7 +260,7 @@
         let allowance = self.entry.settings.borrow().bounds.retries();
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
-        window.first(now, allowance);
+        window.record_request(now, allowance);
     }
 
     /// Whether the request may be sent to another endpoint, after one had it.
@@ -275,7 +275,7 @@
         let entries = self.entry.peers.borrow().entries(now);
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
-        window.take(now, allowance, entries, self.has_more_urgent(now))
+        window.try_take(now, allowance, entries, self.has_more_urgent(now))
     }
 }
 
--- a/tests/direct_budget.rs
+++ b/tests/direct_budget.rs
@@ -11,7 +11,7 @@
 
 fn taken(window: &mut RetryWindow, now: Millis, entries: usize) -> usize {
     (0..1_000)
-        .take_while(|_| window.take(now, ALLOWANCE, entries, false))
+        .take_while(|_| window.try_take(now, ALLOWANCE, entries, false))
         .count()
 }
 
@@ -25,7 +25,7 @@
 fn requests_add_repeats() {
     let mut window = RetryWindow::default();
     for i in 0..100 {
-        window.first(Millis(i), ALLOWANCE);
+        window.record_request(Millis(i), ALLOWANCE);
     }
     assert_eq!(taken(&mut window, Millis(100), 52), 14);
 }
@@ -35,7 +35,7 @@
 fn urgent_left_some() {
     let mut window = RetryWindow::default();
     let less_urgent = (0..1_000)
-        .take_while(|_| window.take(Millis(0), ALLOWANCE, 1, true))
+        .take_while(|_| window.try_take(Millis(0), ALLOWANCE, 1, true))
         .count();
     assert_eq!(less_urgent, 27);
     assert_eq!(taken(&mut window, Millis(0), 1), 9);
@@ -45,8 +45,8 @@
 fn window_slides() {
     let mut window = RetryWindow::default();
     assert_eq!(taken(&mut window, Millis(0), 4), 9);
-    assert!(!window.take(Millis(10_000), ALLOWANCE, 4, false));
-    assert!(window.take(Millis(10_001), ALLOWANCE, 4, false));
+    assert!(!window.try_take(Millis(10_000), ALLOWANCE, 4, false));
+    assert!(window.try_take(Millis(10_001), ALLOWANCE, 4, false));
 }
 
 /// However requests fall to entries, all of them together stay within the budget.
@@ -62,9 +62,9 @@
             now += u.int_in_range(0..=200u64)?;
             let window = &mut windows[u.choose_index(entries)?];
             if u.ratio(1, 3)? {
-                window.first(Millis(now), ALLOWANCE);
+                window.record_request(Millis(now), ALLOWANCE);
                 firsts.push(now);
-            } else if window.take(Millis(now), ALLOWANCE, entries, false) {
+            } else if window.try_take(Millis(now), ALLOWANCE, entries, false) {
                 repeats.push(now);
             }
             let within = |at: &&u64| now - **at < ALLOWANCE.window.0;
