--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -136,7 +136,7 @@
     if demand.pause == Millis(0) {
         return;
     }
-    let lanes = StreamPartition::part(all, READ_TOKENS_PER_MS);
+    let lanes = StreamPartition::compute(all, READ_TOKENS_PER_MS);
     for state in all {
         state.is_reserved = lanes.is_delicate(state.candidate.key);
     }
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -35,7 +35,7 @@
 impl StreamPartition {
     /// Parts the endpoints that are well in proportion to both kinds of load; `prefill_tokens_per_ms` is the
     /// number of prompt tokens that an endpoint reads in a millisecond.
-    pub fn part(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
+    pub fn compute(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut well: Vec<&Candidate<'_>> = all
             .iter()
             .map(|state| &state.candidate)
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -65,7 +65,7 @@
     /// Positions of the endpoints that are kept for delicate streams.
     fn kept(&self) -> Vec<usize> {
         let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
-        let lanes = StreamPartition::part(&all, READS);
+        let lanes = StreamPartition::compute(&all, READS);
         let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
         (0..self.keys.len()).filter(is_kept).collect()
     }
