--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -138,7 +138,7 @@
     }
     let lanes = StreamPartition::compute(all, READ_TOKENS_PER_MS);
     for state in all {
-        state.is_reserved = lanes.is_delicate(state.candidate.key);
+        state.is_reserved = lanes.is_reserved(state.candidate.key);
     }
 }
 
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether an endpoint is kept for delicate streams.
-    pub fn is_delicate(&self, key: EndpointKey) -> bool {
+    pub fn is_reserved(&self, key: EndpointKey) -> bool {
         self.reserved.contains(&key)
     }
 }
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -66,7 +66,7 @@
     fn kept(&self) -> Vec<usize> {
         let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
         let lanes = StreamPartition::compute(&all, READS);
-        let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
+        let is_kept = |i: &usize| lanes.is_reserved(self.keys[*i]);
         (0..self.keys.len()).filter(is_kept).collect()
     }
 
