--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -61,14 +61,14 @@
     let backlog_ms = price::backlog_ms(&all);
     let most_urgent_unread_band =
         (0..BANDS).find(|band| all.iter().any(|state| state.total.unread[*band] > 0));
-    let room = demand.room.in_pool(&all, now);
+    let room = demand.room.pool_room(&all, now);
     let mut best: Option<(Rank, Choice)> = None;
     let sources = Sources::find(&demand, &all, now);
     for state in &all {
         let cached = PrefixReuse::cached(state.cached_tokens);
         let moved = sources.reuse(state);
         let has_room = has_room(&demand, state, &room, now);
-        let lot = match has_room && room.is_crowded() && demand.engine.is_some() {
+        let lot = match has_room && room.is_contended() && demand.engine.is_some() {
             true => room.lot(state, demand.lot_draw(state.candidate.endpoint.digest)),
             false => 0.0,
         };
@@ -187,7 +187,7 @@
     if demand.engine.is_none() {
         return true;
     }
-    !state.candidate.load.is_full(now) && room.free_at(state) > 0.0
+    !state.candidate.load.is_full(now) && room.free_slots(state) > 0.0
 }
 
 /// The time since which an endpoint keeps unused parts: what runs leaves the rest of its memory to
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -53,7 +53,7 @@
 
 impl RoomInputs {
     /// Room at all endpoints of a pool.
-    pub fn in_pool(&self, all: &[CandidateState<'_>], now: Millis) -> PoolRoom {
+    pub fn pool_room(&self, all: &[CandidateState<'_>], now: Millis) -> PoolRoom {
         let entries = self.entries.max(1);
         let others = (entries - 1) as f64 / all.len().max(1) as f64;
         let turned_away = self.recent.rejected_fraction * TURNED_AWAY;
@@ -65,7 +65,7 @@
             free: 0.0,
             admitted_fraction: 1.0,
         };
-        let free: f64 = all.iter().map(|state| room.free_at(state).max(0.0)).sum();
+        let free: f64 = all.iter().map(|state| room.free_slots(state).max(0.0)).sum();
         room.free = free / all.len().max(1) as f64;
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
@@ -99,7 +99,7 @@
 
 impl PoolRoom {
     /// Slots of an endpoint that the request may take, as far as known; 0 or less where there are none.
-    pub fn free_at(&self, state: &CandidateState<'_>) -> f64 {
+    pub fn free_slots(&self, state: &CandidateState<'_>) -> f64 {
         let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
         let left_free = match self.more_urgent_bands {
             0 => 0.0,
@@ -110,14 +110,14 @@
     }
 
     /// Whether requests come about as fast as slots become free: entries that go where most are free would meet there.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_contended(&self) -> bool {
         self.admitted_fraction < 1.0 || self.free < self.unseen * CROWDED
     }
 
     /// Rank of an endpoint with free slots in a draw that takes each as often as it has slots; the least wins. `draw` is from 0 to
     /// 1, another one for each request and endpoint.
     pub fn lot(&self, state: &CandidateState<'_>, draw: f64) -> f64 {
-        let free = self.free_at(state).max(f64::MIN_POSITIVE);
+        let free = self.free_slots(state).max(f64::MIN_POSITIVE);
         -draw.max(f64::MIN_POSITIVE).ln() / free
     }
 }
