--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -239,10 +239,15 @@
         let now = self.entry.clock.now();
         placed.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
-        self.entry.prefixes.borrow_mut().record_prefill(choice.key, ids, now);
+        self.entry
+            .prefixes
+            .borrow_mut()
+            .record_prefill(choice.key, ids, now);
         self.entry.account(choice.key, |account| {
             account.hear(now);
-            account.record.observe_response_time(now, now - sent_at, choice.nominal_ms);
+            account
+                .record
+                .observe_response_time(now, now - sent_at, choice.nominal_ms);
         });
         let mut progress = self.progress.borrow_mut();
         if progress.first.is_none() {
--- a/src/direct/prefix.rs
+++ b/src/direct/prefix.rs
@@ -82,7 +82,12 @@
     }
 
     /// An endpoint has read the parts that were sent to it.
-    pub fn record_prefill(&mut self, endpoint: EndpointKey, parts: impl Iterator<Item = u64>, now: Millis) {
+    pub fn record_prefill(
+        &mut self,
+        endpoint: EndpointKey,
+        parts: impl Iterator<Item = u64>,
+        now: Millis,
+    ) {
         for part in parts {
             let Some(uses) = self.uses.get_mut(&part) else {
                 continue;
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -65,7 +65,10 @@
             free: 0.0,
             admitted_fraction: 1.0,
         };
-        let free: f64 = all.iter().map(|state| room.free_slots(state).max(0.0)).sum();
+        let free: f64 = all
+            .iter()
+            .map(|state| room.free_slots(state).max(0.0))
+            .sum();
         room.free = free / all.len().max(1) as f64;
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
--- a/tests/ended_endpoints.rs
+++ b/tests/ended_endpoints.rs
@@ -60,7 +60,10 @@
     runs.record_loss(lost(1, 100, LostHow::Broken));
     runs.record_connection(Millis(100));
     runs.record_loss(lost(2, 101, LostHow::Broken));
-    assert_eq!(requests(&runs.record_end(EndSign::Refused, Millis(110))), [2]);
+    assert_eq!(
+        requests(&runs.record_end(EndSign::Refused, Millis(110))),
+        [2]
+    );
 }
 
 #[test]
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -339,7 +339,9 @@
         let entry = &mut self.entries[at];
         let ids = ask.parts.iter().map(|part| part.id);
         let read_at = Millis(now + choice.expected_ms as u64);
-        entry.prefixes.record_use(choice.key, ids, Millis(now), read_at);
+        entry
+            .prefixes
+            .record_use(choice.key, ids, Millis(now), read_at);
         entry.loads[engine].begin(choice.footprint, Millis(now));
         self.engines[engine].runs.push(Run {
             ask,
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -99,7 +99,10 @@
         PromptSegment { id: 2, tokens: 9 },
     ];
     let ids = parts.iter().map(|part| part.id);
-    entry.prefixes.borrow_mut().record_use(before, ids, now, now);
+    entry
+        .prefixes
+        .borrow_mut()
+        .record_use(before, ids, now, now);
     entry.take_changes(vec![Change::Put(life("a", 200, 2))], 2);
     let after = key(&entry.directory());
     let accounts = entry.accounts();
