--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -290,7 +290,7 @@
 
     /// Whether nothing new is sent to the endpoints of an availability zone.
     pub fn is_cordoned(&self, zone: &str) -> bool {
-        self.cordons.is_cordoned(zone)
+        self.cordons.contains(zone)
     }
 
     /// An endpoint may have begun to warm up without its entry saying so.
@@ -355,9 +355,7 @@
     /// Whether an endpoint takes new work by the list and by its own word, and its availability zone is not cordoned.
     fn is_open(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.standing(now).is_none();
-        is_willing
-            && endpoint.standing.is_open()
-            && !self.cordons.is_cordoned(&endpoint.listed.zone)
+        is_willing && endpoint.standing.is_open() && !self.cordons.contains(&endpoint.listed.zone)
     }
 
     /// The endpoints of a zone that takes work again may have to warm up.
