--- a/src/direct/admission.rs
+++ b/src/direct/admission.rs
@@ -68,7 +68,7 @@
     /// Mean time that the pool's endpoints need to read the prompts that they have, in ms.
     pub backlog_ms: f64,
     /// Tightest target among the pool's routes; 0 where none is told.
-    pub tightest_target: Millis,
+    pub shortest_target: Millis,
     /// Time that is left.
     pub time_left: Millis,
     /// Longest time that the pool's less urgent requests have; 0 where there are none.
@@ -103,10 +103,10 @@
 
     /// How overloaded the pool is, from 0 to 1.
     fn overload(&self) -> f64 {
-        if self.tightest_target == Millis(0) {
+        if self.shortest_target == Millis(0) {
             return 0.0;
         }
-        let backlog = self.backlog_ms / self.tightest_target.0 as f64;
+        let backlog = self.backlog_ms / self.shortest_target.0 as f64;
         ((backlog - CALM) / (OVERLOADED - CALM)).clamp(0.0, 1.0)
     }
 }
--- a/src/direct/entry/accounts.rs
+++ b/src/direct/entry/accounts.rs
@@ -7,9 +7,9 @@
 
 use super::Entry;
 use crate::clock::Millis;
-use crate::direct::channel::Channel;
+use crate::direct::channel::Connection;
 use crate::direct::decision::Decision;
-use crate::direct::directory::{Endpoint, EndpointKey, Standing};
+use crate::direct::directory::{Endpoint, EndpointKey, EndpointStatus};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
 use crate::direct::health::{Fault, HealthRecord};
 use crate::direct::load::{EndpointLoad, Footprint};
@@ -48,7 +48,7 @@
     /// Whether it is being found out whether it has ended.
     is_checked: bool,
     /// Connections to it that are not in use, the newest last.
-    idle: Vec<Channel>,
+    idle: Vec<Connection>,
 }
 
 /// The accounts of all listed endpoints.
@@ -101,12 +101,12 @@
     }
 
     /// A connection to an endpoint that waits for use.
-    pub fn idle_channel(&self, key: EndpointKey) -> Option<Channel> {
+    pub fn idle_channel(&self, key: EndpointKey) -> Option<Connection> {
         let now = self.clock.now();
         let mut accounts = self.accounts.borrow_mut();
         let idle = &mut accounts.get_mut(key)?.idle;
         while let Some(channel) = idle.pop() {
-            if now < idle_until(&channel) && channel.is_quiet() {
+            if now < idle_until(&channel) && channel.is_idle() {
                 return Some(channel);
             }
         }
@@ -114,7 +114,7 @@
     }
 
     /// Keeps a connection for another request.
-    pub fn keep_channel(&self, key: EndpointKey, mut channel: Channel) {
+    pub fn keep_channel(&self, key: EndpointKey, mut channel: Connection) {
         channel.idle_since = self.clock.now();
         let mut accounts = self.accounts.borrow_mut();
         if let Some(account) = accounts.get_mut(key) {
@@ -129,9 +129,9 @@
     pub fn warm_up_share(&self, endpoint: &Endpoint, warm_up: Option<WarmUp>) -> Option<usize> {
         let warm_up = warm_up?;
         let now = self.clock.now();
-        let warm_at = endpoint.warm_at(warm_up.time);
-        let until = warmup::shared_until(warm_at, self.id, endpoint.digest);
-        if warm_at == Millis(0) || now >= until {
+        let warm_until = endpoint.warm_until(warm_up.time);
+        let until = warmup::shared_until(warm_until, self.id, endpoint.digest);
+        if warm_until == Millis(0) || now >= until {
             return None;
         }
         let settings = self.settings.borrow();
@@ -160,7 +160,7 @@
         let now = self.clock.now();
         if fault == Fault::Unreachable {
             // It may have started again, and its entry in the list is from before.
-            self.directory.borrow_mut().doubt(key, now);
+            self.directory.borrow_mut().assume_warm_up(key, now);
         }
         let mut set_aside = false;
         self.account(key, |account| set_aside = account.record.failed(now, fault));
@@ -238,8 +238,8 @@
         let Some(endpoint) = directory.get(key) else {
             return false;
         };
-        let leaves = endpoint.standing == Standing::Draining || endpoint.announced.leaves;
-        !leaves && !endpoint.is_told_warming(now)
+        let leaves = endpoint.status == EndpointStatus::Draining || endpoint.announced.leaves;
+        !leaves && !endpoint.is_listed_warming(now)
     }
 
     /// The life of an endpoint is over.
@@ -263,7 +263,7 @@
             pool.clone_from(&account.pool);
             life = account.life;
         });
-        self.log.belief(Decision::EndpointEnded {
+        self.log.state_change(Decision::EndpointEnded {
             endpoint,
             sign,
             lost: lost.iter().map(|run| run.request.to_string()).collect(),
@@ -274,7 +274,7 @@
 
     fn log_health(&self, key: EndpointKey, aside: bool, why: &str) {
         if let Some(endpoint) = self.directory.borrow().get(key) {
-            self.log.belief(Decision::EndpointHealth {
+            self.log.state_change(Decision::EndpointHealth {
                 endpoint: endpoint.listed.id.clone(),
                 aside,
                 why: why.into(),
@@ -285,7 +285,7 @@
     /// Opens an account for each endpoint that has none.
     pub(super) fn open_accounts(&self) {
         let directory = self.directory.borrow();
-        let smallest = directory.smallest_pool();
+        let smallest = directory.smallest_pool_size();
         self.quarantine.borrow_mut().set_endpoints(smallest);
         let mut accounts = self.accounts.borrow_mut();
         for (key, endpoint) in directory.iter() {
@@ -398,7 +398,7 @@
 }
 
 /// Until when an idle connection may be used.
-fn idle_until(channel: &Channel) -> Millis {
+fn idle_until(channel: &Connection) -> Millis {
     let told = channel
         .idle_time
         .map(|time| (time.0 as f64 * IDLE_PART) as u64);
--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -211,7 +211,7 @@
 
     /// Whether the balancer should send connections: requests can be decided and are wanted.
     pub fn is_ready(&self) -> bool {
-        let bound = self.settings.borrow().bounds.key_proof_age();
+        let bound = self.settings.borrow().bounds.max_key_proof_age();
         let fresh = bound.is_none_or(|b| self.freshness.get().is_younger_than(self.clock.now(), b));
         self.life() == Life::Serving && self.listed.get() && self.version() > 0 && fresh
     }
@@ -239,7 +239,7 @@
 
     /// A peer is heard that was not before.
     pub fn log_peer(&self, peer: SocketAddr, peers: usize) {
-        self.log.belief(Decision::Peer {
+        self.log.state_change(Decision::Peer {
             peer: peer.to_string(),
             heard: true,
             peers,
@@ -269,7 +269,7 @@
 
     /// Writes a line about the process itself.
     pub fn log_process(&self, state: &str, note: &str) {
-        self.log.belief(Decision::Process {
+        self.log.state_change(Decision::Process {
             state: state.into(),
             note: note.into(),
         });
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use crate::direct::answerer::Answerer;
-use crate::direct::decision::RefusedWhy;
+use crate::direct::decision::RefusalReason;
 use crate::direct::dialect::Refusal;
 use crate::direct::entry::{Entry, Life};
-use crate::direct::intake::Incoming;
+use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
 use crate::direct::refuse::{self, RETRY_ELSEWHERE_AFTER};
@@ -16,17 +16,17 @@
 /// Serves a request; false when the connection is to be closed.
 pub async fn handle(
     entry: &Rc<Entry>,
-    incoming: &Incoming,
+    incoming: &IncomingRequest,
     answerer: &mut Answerer,
     progress: &RefCell<Progress>,
 ) -> bool {
-    let ask = match entry.dialect.ask(&incoming.head) {
+    let ask = match entry.dialect.parse_request(&incoming.head) {
         Ok(ask) => ask,
         Err(refusal) => return refuse::write(entry, answerer, refusal, None).await,
     };
     progress.borrow_mut().id = ask.id.as_bytes().to_vec();
     if entry.life() == Life::Stopping {
-        refuse::log(entry, &ask, incoming, RefusedWhy::Stopping, None);
+        refuse::log(entry, &ask, incoming, RefusalReason::Stopping, None);
         let refusal = Refusal::NotRun(RETRY_ELSEWHERE_AFTER);
         return refuse::write(entry, answerer, refusal, Some(&ask)).await;
     }
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -9,10 +9,10 @@
 use super::{Attempt, Job};
 use crate::clock::Millis;
 use crate::direct::answerer::Answerer;
-use crate::direct::catalog::Share;
-use crate::direct::channel::{Channel, Failure, Reply};
+use crate::direct::catalog::PoolShare;
+use crate::direct::channel::{Connection, ExchangeError, Reply};
 use crate::direct::choose::Choice;
-use crate::direct::dialect::Order;
+use crate::direct::dialect::EndpointRequest;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
 use crate::direct::health::Fault;
@@ -82,7 +82,7 @@
         let Some(catalog) = self.entry.catalog() else {
             return false;
         };
-        let sends_here = |share: &Share| share.pool == self.pool;
+        let sends_here = |share: &PoolShare| share.pool == self.pool;
         let route = &catalog.routes[allowed.route.0];
         let same = route.shares.iter().any(sends_here) && route.shape == self.route().shape;
         if same {
@@ -93,14 +93,14 @@
     }
 
     /// A connection to an endpoint: a kept one that is quiet, or a new one.
-    async fn open(&self, key: EndpointKey) -> Option<Channel> {
+    async fn open(&self, key: EndpointKey) -> Option<Connection> {
         if let Some(channel) = self.entry.idle_channel(key) {
             return Some(channel);
         }
         let address = self.entry.directory().get(key)?.listed.address;
         self.entry.gauges.connection();
-        let connected = Channel::connect(address).await;
-        if matches!(connected, Err(Failure::Refused)) {
+        let connected = Connection::connect(address).await;
+        if matches!(connected, Err(ExchangeError::Refused)) {
             self.entry.endpoint_ended(key, EndSign::Refused);
         }
         connected.ok()
@@ -110,12 +110,12 @@
     async fn send(
         &mut self,
         answerer: &mut Answerer,
-        channel: Channel,
+        channel: Connection,
         choice: Choice,
         now: Millis,
     ) -> Attempt {
         let key = choice.key;
-        let Some(head) = self.order(&choice, now) else {
+        let Some(head) = self.endpoint_request(&choice, now) else {
             return Attempt::NotSent(key);
         };
         self.note_placement(&choice);
@@ -126,13 +126,13 @@
         let sending = channel.send(head, &self.incoming.body, is_own);
         let reply = match self.wait(sending, key, now).await {
             Ok(Ok(reply)) => reply,
-            Ok(Err(Failure::Refused | Failure::Connect | Failure::NotSent)) => {
+            Ok(Err(ExchangeError::Refused | ExchangeError::Connect | ExchangeError::NotSent)) => {
                 placed.undecided();
                 self.attempts -= 1;
                 self.log_failed(key, "connection failed before sending", false);
                 return Attempt::NotSent(key);
             }
-            Ok(Err(Failure::Lost)) => {
+            Ok(Err(ExchangeError::Lost)) => {
                 placed.broken();
                 self.sent = true;
                 return self.failed(key, Fault::Answer, "connection lost");
@@ -155,19 +155,19 @@
     /// Whether an answer is to this request. One to an earlier request that comes late is skipped, but what the
     /// endpoint announces in it holds all the same.
     fn is_own(&self, key: EndpointKey, head: &ResponseHead) -> bool {
-        let verdict = self.entry.dialect.verdict(head, &self.ask.id);
-        if !verdict.is_own {
-            let (announcement, id) = (verdict.announcement, self.ask.id.as_bytes());
+        let response_info = self.entry.dialect.response_info(head, &self.ask.id);
+        if !response_info.is_own {
+            let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
             self.entry.endpoint_announced(key, announcement, id);
             let sent = Millis(0);
             self.entry
                 .endpoint_limited(key, announcement.limit, sent, id);
         }
-        verdict.is_own
+        response_info.is_own
     }
 
     /// The head that the endpoint gets; `None` when it has left the list.
-    fn order(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
+    fn endpoint_request(&self, choice: &Choice, now: Millis) -> Option<RequestHead> {
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key)?;
         self.log_placed(choice, &endpoint.listed.id, now);
@@ -177,7 +177,7 @@
         let fetch_from = choice.reuse.from.and_then(|key| directory.get(key));
         let fetch_from = fetch_from.map(|e| e.listed.address);
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
-        let order = Order {
+        let endpoint_request = EndpointRequest {
             endpoint: &endpoint.listed.id,
             time_left: self.end - now,
             team: team.map(|team| team.name.as_str()),
@@ -190,7 +190,11 @@
             copy_to: copy.filter(|_| !self.takes_over),
             copy_of: copy.filter(|_| self.takes_over),
         };
-        Some(self.entry.dialect.order(&self.incoming.head, &order))
+        Some(
+            self.entry
+                .dialect
+                .endpoint_request(&self.incoming.head, &endpoint_request),
+        )
     }
 
     /// Remembers where the parts of the prompt are now, also for peers.
@@ -214,10 +218,10 @@
     /// Waits for the head of the answer; a silent endpoint is left where that is harmless.
     async fn wait(
         &self,
-        sending: impl Future<Output = Result<Reply, Failure>>,
+        sending: impl Future<Output = Result<Reply, ExchangeError>>,
         key: EndpointKey,
         sent_at: Millis,
-    ) -> Result<Result<Reply, Failure>, Attempt> {
+    ) -> Result<Result<Reply, ExchangeError>, Attempt> {
         let mut sending = pin!(sending);
         let silent = Millis(self.route().target.0 * SILENT_TARGETS).max(SILENT_LEAST);
         let clock = &self.entry.clock;
--- a/src/direct/ready.rs
+++ b/src/direct/ready.rs
@@ -94,7 +94,7 @@
                 "id": e.listed.id,
                 "pool": e.listed.pool,
                 "zone": e.listed.zone,
-                "standing": format!("{:?}", e.standing),
+                "standing": format!("{:?}", e.status),
                 "announced": e.announced.standing(now),
                 "limit_per_s": entry.limit(key).map(Rate::per_s),
             })
@@ -115,7 +115,7 @@
 }
 
 /// Asks a peer for what makes its configuration of a version.
-pub fn newer_query(version: u64) -> RequestHead {
+pub fn catalog_since_query(version: u64) -> RequestHead {
     get(&format!("{NEWER_PATH}{version}"))
 }
 
--- a/src/direct/sync/prove.rs
+++ b/src/direct/sync/prove.rs
@@ -64,7 +64,7 @@
     let head = entry.dialect.snapshot_query();
     let (status, body) = call(entry, client, Document::Revision, head, CALL_TIME).await?;
     let snapshot = entry.dialect.snapshot(status, &body);
-    snapshot.map_err(CallError::Unusable)
+    snapshot.map_err(CallError::InvalidResponse)
 }
 
 /// Waits until the newest proof is so old that another is due.
@@ -98,7 +98,7 @@
     if entry.is_watching() {
         return PROVE_AT;
     }
-    let bound = entry.settings.borrow().bounds.key_proof_age();
+    let bound = entry.settings.borrow().bounds.max_key_proof_age();
     bound.map_or(FOLLOWER_PROVES_AT, |bound| {
         Millis(bound.0 / 2).min(FOLLOWER_PROVES_AT)
     })
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -8,7 +8,7 @@
         band: 2,
         expected_ms,
         backlog_ms,
-        tightest_target: Millis(300),
+        shortest_target: Millis(300),
         time_left: Millis(4_000),
         longest_less_urgent_time: Millis(0),
         has_more_urgent: false,
@@ -106,7 +106,7 @@
 #[test]
 fn no_target_told() {
     let outlook = EngineAdmission {
-        tightest_target: Millis(0),
+        shortest_target: Millis(0),
         ..outlook(9_000.0, 2_000.0)
     };
     assert!(outlook.is_admitted());
