--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::peers::{self, Hello, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND_INTERVAL};
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
 
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 pub struct Member {
-    book: PeerBook,
+    book: PeerTable,
     pub quarantine: Quarantine,
     bytes: Vec<u64>,
     is_telling: bool,
@@ -75,7 +75,7 @@
 
 /// What a day is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct Day {
+pub struct Scenario {
     pub entries: usize,
     pub engines: usize,
     /// Innocent requests a second.
@@ -91,7 +91,7 @@
 }
 
 pub struct Fleet {
-    day: Day,
+    day: Scenario,
     pub members: Vec<Member>,
     by_address: HashMap<SocketAddr, usize>,
     events: BinaryHeap<std::cmp::Reverse<(u64, Event)>>,
@@ -111,7 +111,7 @@
 }
 
 /// The request that ends engines; others are innocent.
-pub const KILLER: usize = 0;
+pub const CRASHING_REQUEST: usize = 0;
 /// Zones of the fleet.
 pub const ZONES: usize = 12;
 
@@ -119,8 +119,8 @@
     ([10, 0, (i / 250) as u8, (i % 250) as u8], 7_000).into()
 }
 
-fn hello(zone: usize, zone_entries: u32) -> Hello {
-    Hello {
+fn hello(zone: usize, zone_entries: u32) -> GossipMessage {
+    GossipMessage {
         proof_age_ms: Some(0),
         zone: ZoneId::of(&format!("zone-{zone}")),
         zone_entries,
@@ -129,7 +129,7 @@
 }
 
 impl Fleet {
-    pub fn new(day: Day) -> Self {
+    pub fn new(day: Scenario) -> Self {
         let zones = if day.entries > 30 { ZONES } else { 3 };
         let members = (0..day.entries).map(|i| member(i, day, zones));
         let mut fleet = Self {
@@ -150,7 +150,7 @@
             refused: 0,
         };
         for i in 0..day.entries {
-            let phase = fleet.rng.gen_range(0..ROUND.0);
+            let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
         if day.again > 0 {
@@ -203,7 +203,7 @@
             Event::Ends(engine) => self.engine_ends(engine),
             Event::Back(engine) => self.lives[engine] += 1,
             Event::Again => {
-                self.comes(KILLER);
+                self.comes(CRASHING_REQUEST);
                 let next = self.now + self.day.again;
                 self.at(next, Event::Again);
             }
@@ -215,7 +215,7 @@
     }
 
     fn round(&mut self, i: usize) {
-        self.at(self.now + ROUND.0, Event::Round(i));
+        self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         let now = self.time();
         if !self.members[i].quarantine.judge(now).is_empty() {
             self.wake(i);
@@ -229,7 +229,7 @@
         let round = self.members[i].book.round(false, now);
         let repeats = self.rng.gen_ratio(48, 256);
         for tell in round {
-            let since = self.members[i].book.notices_since(tell.covers, now);
+            let since = self.members[i].book.notices_since(tell.work_scope, now);
             self.send_notices(i, tell.to, since, repeats);
         }
     }
@@ -237,7 +237,7 @@
     fn tell_at_once(&mut self, i: usize) {
         self.members[i].is_telling = false;
         let since = Millis(self.now - 2 * GATHER);
-        for to in self.members[i].book.at_once() {
+        for to in self.members[i].book.immediate_targets() {
             self.send_notices(i, to, since, false);
         }
     }
@@ -294,7 +294,7 @@
                 return;
             }
             Standing::UnderWay { ends, .. } if ends >= 2 => {
-                if request != KILLER {
+                if request != CRASHING_REQUEST {
                     self.at(self.now + COMES_AGAIN, Event::Comes(request));
                 }
                 return;
@@ -320,7 +320,7 @@
         };
         self.next_run += 1;
         self.runs.insert(self.next_run, run);
-        if request == KILLER {
+        if request == CRASHING_REQUEST {
             self.reached.push(self.now);
             self.at(self.now + CRASHES_AFTER, Event::Ends(engine));
         } else {
@@ -356,7 +356,7 @@
             .collect();
         for number in lost {
             let run = self.runs.remove(&number).unwrap();
-            if run.request == KILLER {
+            if run.request == CRASHING_REQUEST {
                 self.ended.push(self.now);
             } else {
                 self.requests[run.request].lost += 1;
@@ -403,18 +403,18 @@
 
 fn member(
     i: usize,
-    Day {
+    Scenario {
         entries, engines, ..
-    }: Day,
+    }: Scenario,
     zones: usize,
 ) -> Member {
-    let mut book = PeerBook::new(address(i), &[], i as u32);
+    let mut book = PeerTable::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoints(engines);
     book.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
-        book.hear(address(peer), &hello(peer % zones, in_zone), Millis(0));
+        book.record_message(address(peer), &hello(peer % zones, in_zone), Millis(0));
     }
     Member {
         book,
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -11,7 +11,9 @@
 use violetline::announced::NamedLimit;
 use violetline::clock::Millis;
 use violetline::direct::limits::{self, Limits, Message, Step, Target};
-use violetline::direct::peers::{Coordinator, Covers, Hello, PeerBook, ZoneId, ROUND};
+use violetline::direct::peers::{
+    Coordinator, GossipMessage, PeerTable, WorkScope, ZoneId, ROUND_INTERVAL,
+};
 use violetline::rate::Rate;
 
 pub use self::day::{Day, Traffic, Trouble};
@@ -49,7 +51,7 @@
 #[derive(Debug, Clone)]
 enum Event {
     Round(usize),
-    Hello(usize, usize, Box<Hello>),
+    GossipMessage(usize, usize, Box<GossipMessage>),
     Limits(usize, usize, Message),
     /// A caller's request comes, or looks again.
     Asks(Asked),
@@ -71,7 +73,7 @@
 }
 
 struct Member {
-    book: PeerBook,
+    book: PeerTable,
     limits: Limits,
     life: u32,
     is_up: bool,
@@ -142,7 +144,7 @@
             to_free: 0,
         };
         for i in 0..day.entries {
-            let phase = fleet.rng.gen_range(0..ROUND.0);
+            let phase = fleet.rng.gen_range(0..ROUND_INTERVAL.0);
             fleet.at(phase, Event::Round(i));
         }
         fleet
@@ -183,7 +185,7 @@
 
     fn happens(&mut self, event: Event) {
         let of = match &event {
-            Event::Round(i) | Event::Hello(i, ..) | Event::Limits(i, ..) => Some(*i),
+            Event::Round(i) | Event::GossipMessage(i, ..) | Event::Limits(i, ..) => Some(*i),
             Event::TimeOver(i, ..) | Event::Answered(i, ..) => Some(*i),
             Event::Waited(asked) => Some(asked.entry),
             _ => None,
@@ -194,7 +196,7 @@
         }
         match event {
             Event::Round(i) => self.round(i),
-            Event::Hello(i, from, hello) => self.hear(i, from, &hello),
+            Event::GossipMessage(i, from, hello) => self.hear(i, from, &hello),
             Event::Limits(i, from, message) => self.take(i, from, message),
             Event::Asks(asked) => self.asks(asked),
             Event::Waited(asked) => {
@@ -225,13 +227,13 @@
     }
 
     fn round(&mut self, i: usize) {
-        self.at(self.now + ROUND.0, Event::Round(i));
+        self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         if !self.members[i].is_up {
             return;
         }
         let now = self.time();
         let is_leaving = self.members[i].is_leaving;
-        self.members[i].book.note_serving(is_leaving, now);
+        self.members[i].book.update_serving_peers(is_leaving, now);
         let member = &mut self.members[i];
         let (book, started) = (&member.book, Millis(member.started));
         let is_own = |t: Target| {
@@ -241,13 +243,15 @@
         member.limits.round(is_own, now);
         for tell in self.members[i].book.round(false, now) {
             let to = self.by_address[&tell.to];
-            let hello = self.hello(i, tell.to, tell.covers);
-            let bytes = HELLO_BYTES[usize::from(tell.covers == Covers::Zone)];
-            self.members[i].book.sent_bytes(tell.covers, bytes);
+            let hello = self.hello(i, tell.to, tell.work_scope);
+            let bytes = HELLO_BYTES[usize::from(tell.work_scope == WorkScope::Zone)];
+            self.members[i]
+                .book
+                .record_sent_bytes(tell.work_scope, bytes);
             if self.passes(i, to) {
-                self.at(self.now + WAY, Event::Hello(to, i, Box::new(hello)));
+                self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
             }
-            let since = self.members[i].book.notices_since(tell.covers, now);
+            let since = self.members[i].book.notices_since(tell.work_scope, now);
             let news = self.members[i].limits.news(since, now);
             if !news.is_empty() {
                 self.send(i, to, Message::Told(news));
@@ -255,26 +259,26 @@
         }
     }
 
-    fn hello(&mut self, i: usize, to: SocketAddr, covers: Covers) -> Hello {
+    fn hello(&mut self, i: usize, to: SocketAddr, work_scope: WorkScope) -> GossipMessage {
         let now = self.time();
         let member = &mut self.members[i];
         let number = member.book.next_number(now);
         // Rounds of a large fleet are played with less, and tell the same.
         let tells = self.day.entries <= 30 || number % 16 == 0;
-        let others = match tells {
-            true => member.book.others(to, now),
+        let peer_addresses = match tells {
+            true => member.book.peer_addresses(to, now),
             false => Vec::new(),
         };
-        let zone_entries = match covers {
-            Covers::Zone => member.book.zone_entries(now),
-            Covers::Sender | Covers::Nothing => 1,
+        let zone_entries = match work_scope {
+            WorkScope::Zone => member.book.zone_entries(now),
+            WorkScope::Sender | WorkScope::Nothing => 1,
         };
-        Hello {
+        GossipMessage {
             leaving: member.is_leaving,
             zone: member.book.zone(),
             zone_entries,
-            others,
-            covers,
+            peer_addresses,
+            work_scope,
             ..common::hello(u64::from(member.life) << 32 | i as u64, number, None)
         }
     }
@@ -298,10 +302,12 @@
         }
     }
 
-    fn hear(&mut self, i: usize, from: usize, hello: &Hello) {
+    fn hear(&mut self, i: usize, from: usize, hello: &GossipMessage) {
         if self.members[i].is_up {
             let now = self.time();
-            self.members[i].book.hear(address(from), hello, now);
+            self.members[i]
+                .book
+                .record_message(address(from), hello, now);
         }
     }
 
@@ -527,16 +533,16 @@
         .filter(|seed| *seed != i)
         .map(address)
         .collect();
-    let mut book = PeerBook::new(address(i), &seeds, (life << 16) + i as u32);
+    let mut book = PeerTable::new(address(i), &seeds, (life << 16) + i as u32);
     book.set_zone(&format!("zone-{}", i % day.zones));
     let others = (0..day.entries).filter(|peer| *peer != i && life == 0);
     for peer in others {
-        let hello = Hello {
+        let hello = GossipMessage {
             zone: ZoneId::of(&format!("zone-{}", peer % day.zones)),
             zone_entries: (day.entries / day.zones) as u32,
             ..common::hello(peer as u64, 0, None)
         };
-        book.hear(address(peer), &hello, Millis(0));
+        book.record_message(address(peer), &hello, Millis(0));
     }
     Member {
         book,
