--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -9,23 +9,25 @@
 use crate::direct::directory::{digest, EndpointKey};
 use crate::direct::ends::{EndSign, LostRun};
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::{Among, Change, End, LifeDigest, Notice, Standing};
+use crate::quarantine::{
+    Change, EndpointEnd, IncarnationDigest, Notice, PoolSnapshot, QuarantineStatus,
+};
 
 impl Entry {
     /// Whether a request may be sent to an endpoint now.
-    pub fn standing(&self, request: Fingerprint) -> Standing {
-        self.judge();
+    pub fn request_status(&self, request: Fingerprint) -> QuarantineStatus {
+        self.evaluate_suspects();
         let now = self.clock.now();
-        self.quarantine.borrow().standing(request, now)
+        self.quarantine.borrow().request_status(request, now)
     }
 
     /// Judges the requests that may be the cause of ends, and tells of those that are refused from now on.
-    pub fn judge(&self) {
+    pub fn evaluate_suspects(&self) {
         let now = self.clock.now();
-        let refused = self.quarantine.borrow_mut().judge(now);
+        let refused = self.quarantine.borrow_mut().evaluate_suspects(now);
         for request in refused {
-            if let Standing::Refused { ends, until } =
-                self.quarantine.borrow().standing(request, now)
+            if let QuarantineStatus::Refused { ends, until } =
+                self.quarantine.borrow().request_status(request, now)
             {
                 self.changed(request, Change::Refused { ends, until });
             }
@@ -34,7 +36,7 @@
 
     /// A request under suspicion is about to be sent.
     pub fn suspect_began(&self, request: Fingerprint, at: Millis) {
-        let change = self.quarantine.borrow_mut().began(request, at, at);
+        let change = self.quarantine.borrow_mut().record_start(request, at, at);
         self.changed(request, change);
         self.tell_now.notify_one();
     }
@@ -42,7 +44,10 @@
     /// An endpoint finished a request.
     pub fn run_finished(&self, request: Fingerprint) {
         let now = self.clock.now();
-        let change = self.quarantine.borrow_mut().finished(request, now, now);
+        let change = self
+            .quarantine
+            .borrow_mut()
+            .record_completion(request, now, now);
         if change == Change::Cleared {
             self.changed(request, change);
             self.tell_now.notify_one();
@@ -59,14 +64,14 @@
                 self.told_of_end(*endpoint);
             }
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.take_among(notice, among, now);
+            let change = quarantine.apply_notice_in_pool(notice, among, now);
             drop(quarantine);
             self.changed(notice.request(), change);
         }
     }
 
     /// The endpoints among which one is of which a peer tells; `None` where it is not listed.
-    fn among_told(&self, life: LifeDigest) -> Option<Among> {
+    fn among_told(&self, life: IncarnationDigest) -> Option<PoolSnapshot> {
         let directory = self.directory.borrow();
         let key = directory.by_digest(life)?;
         let pool = &directory.get(key)?.listed.pool;
@@ -74,29 +79,34 @@
     }
 
     /// The endpoints of a pool among which one of them is.
-    pub(super) fn among(&self, pool: &str, key: EndpointKey) -> Among {
+    pub(super) fn among(&self, pool: &str, key: EndpointKey) -> PoolSnapshot {
         let now = self.clock.now();
         let directory = self.directory.borrow();
         let others = directory
             .available_in_pool(pool, now)
             .filter(|(k, _)| *k != key);
-        Among {
+        PoolSnapshot {
             pool: digest(pool, None),
             endpoints: others.count() + 1,
         }
     }
 
     /// Runs were lost with an endpoint whose life is over: each of them may have ended it.
-    pub(super) fn suspect(&self, endpoint: LifeDigest, among: Among, lost: &[LostRun]) {
+    pub(super) fn suspect(
+        &self,
+        endpoint: IncarnationDigest,
+        among: PoolSnapshot,
+        lost: &[LostRun],
+    ) {
         let now = self.clock.now();
         for run in lost {
-            let end = End {
+            let end = EndpointEnd {
                 endpoint,
                 began: run.began,
                 ended: run.lost,
             };
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.ended_among(run.request, end, Some(among), now);
+            let change = quarantine.record_end_in_pool(run.request, end, Some(among), now);
             drop(quarantine);
             self.changed(run.request, change);
         }
@@ -127,7 +137,7 @@
     }
 
     /// A peer saw the life of an endpoint end.
-    fn told_of_end(&self, endpoint: LifeDigest) {
+    fn told_of_end(&self, endpoint: IncarnationDigest) {
         let key = self.directory.borrow().by_digest(endpoint);
         if let Some(key) = key {
             self.endpoint_ended(key, EndSign::Told);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -8,7 +8,9 @@
 use violetline::clock::Millis;
 use violetline::direct::peers::{self, GossipMessage, PeerTable, ZoneId, ROUND_INTERVAL};
 use violetline::fingerprint::Fingerprint;
-use violetline::quarantine::{Change, End, Quarantine, Standing, MOST_NOTICES};
+use violetline::quarantine::{
+    Change, EndpointEnd, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE,
+};
 
 use crate::common;
 
@@ -217,7 +219,7 @@
     fn round(&mut self, i: usize) {
         self.at(self.now + ROUND_INTERVAL.0, Event::Round(i));
         let now = self.time();
-        if !self.members[i].quarantine.judge(now).is_empty() {
+        if !self.members[i].quarantine.evaluate_suspects(now).is_empty() {
             self.wake(i);
         }
         // Nothing that was learned before is told: a round of 450 entries is only worked out where there is something.
@@ -245,10 +247,11 @@
     fn send_notices(&mut self, from: usize, to: SocketAddr, since: Millis, repeats: bool) {
         let now = self.time();
         let member = &mut self.members[from];
-        let notices = member
-            .quarantine
-            .recent()
-            .since(since, repeats, MOST_NOTICES, now);
+        let notices =
+            member
+                .quarantine
+                .recent()
+                .since(since, repeats, MAX_NOTICES_PER_MESSAGE, now);
         let Some(bytes) = peers::encode_notices(&notices) else {
             return;
         };
@@ -267,7 +270,7 @@
         let now = self.time();
         let bytes = self.datagrams.remove(&number).unwrap();
         for notice in peers::decode_notices(&bytes).unwrap() {
-            let change = self.members[i].quarantine.take(&notice, now);
+            let change = self.members[i].quarantine.apply_notice(&notice, now);
             if matches!(change, Change::Refused { .. }) {
                 self.wake(i);
             }
@@ -285,22 +288,27 @@
         let entry = self.rng.gen_range(0..self.day.entries);
         let fingerprint = Fingerprint(request as u64);
         let now = self.time();
-        self.members[entry].quarantine.judge(now);
-        match self.members[entry].quarantine.standing(fingerprint, now) {
-            Standing::Clear => {}
-            Standing::Refused { .. } => {
+        self.members[entry].quarantine.evaluate_suspects(now);
+        match self.members[entry]
+            .quarantine
+            .request_status(fingerprint, now)
+        {
+            QuarantineStatus::Clear => {}
+            QuarantineStatus::Refused { .. } => {
                 self.requests[request].refused = true;
                 self.refused += 1;
                 return;
             }
-            Standing::UnderWay { ends, .. } if ends >= 2 => {
+            QuarantineStatus::MustWait { ends, .. } if ends >= 2 => {
                 if request != CRASHING_REQUEST {
                     self.at(self.now + COMES_AGAIN, Event::Comes(request));
                 }
                 return;
             }
-            Standing::UnderWay { .. } | Standing::Suspect { .. } => {
-                self.members[entry].quarantine.began(fingerprint, now, now);
+            QuarantineStatus::MustWait { .. } | QuarantineStatus::Suspect { .. } => {
+                self.members[entry]
+                    .quarantine
+                    .record_start(fingerprint, now, now);
                 self.wake(entry);
             }
         }
@@ -335,7 +343,7 @@
         };
         let fingerprint = Fingerprint(run.request as u64);
         let member = &mut self.members[run.entry];
-        if member.quarantine.finished(fingerprint, now, now) == Change::Cleared {
+        if member.quarantine.record_completion(fingerprint, now, now) == Change::Cleared {
             self.wake(run.entry);
         }
     }
@@ -364,7 +372,7 @@
                     self.at(self.now + COMES_AGAIN, Event::Comes(run.request));
                 }
             }
-            let end = End {
+            let end = EndpointEnd {
                 endpoint: (engine as u32) << 16 | life,
                 began: run.began,
                 ended: now,
@@ -372,7 +380,7 @@
             let fingerprint = Fingerprint(run.request as u64);
             self.members[run.entry]
                 .quarantine
-                .ended(fingerprint, end, now);
+                .record_end(fingerprint, end, now);
             self.wake(run.entry);
         }
     }
@@ -410,7 +418,7 @@
 ) -> Member {
     let mut book = PeerTable::new(address(i), &[], i as u32);
     let mut quarantine = Quarantine::default();
-    quarantine.set_endpoints(engines);
+    quarantine.set_endpoint_count(engines);
     book.set_zone(&format!("zone-{}", i % zones));
     for peer in (0..entries).filter(|peer| *peer != i) {
         let in_zone = (entries / zones).max(1) as u32;
