--- a/src/direct/cordons.rs
+++ b/src/direct/cordons.rs
@@ -26,7 +26,7 @@
 
 impl Cordons {
     /// Whether a zone is cordoned.
-    pub fn contains(&self, zone: &str) -> bool {
+    pub fn has(&self, zone: &str) -> bool {
         self.words.get(zone).is_some_and(|word| word.is_cordoned)
     }
 
--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -308,7 +308,7 @@
 
     /// Whether an availability zone is cordoned, so that its endpoints get no new requests.
     pub fn is_cordoned(&self, zone: &str) -> bool {
-        self.cordons.contains(zone)
+        self.cordons.has(zone)
     }
 
     /// Notes that an endpoint may have started to warm up although its list entry does not say so.
@@ -378,9 +378,7 @@
     /// announcements, and its availability zone is not cordoned.
     fn accepts_work(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.decline_reason(now).is_none();
-        is_willing
-            && endpoint.status.accepts_work()
-            && !self.cordons.contains(&endpoint.listed.zone)
+        is_willing && endpoint.status.accepts_work() && !self.cordons.has(&endpoint.listed.zone)
     }
 
     /// Notes that the endpoints of a zone that was uncordoned may have to warm up.
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -76,10 +76,10 @@
     let mut cordons = Cordons::default();
     cordons.cordon(cordon(7));
     assert!(!cordons.uncordon(&cordon(6)));
-    assert!(cordons.contains(ZONE));
+    assert!(cordons.has(ZONE));
     assert!(cordons.uncordon(&cordon(8)));
     cordons.cordon(cordon(7));
-    assert!(!cordons.contains(ZONE), "a peer's old word");
+    assert!(!cordons.has(ZONE), "a peer's old word");
 }
 
 /// Listings and their changes bring both ends to the same state.
@@ -132,7 +132,7 @@
             revision: n + 2,
         });
     }
-    assert!(cordons.contains(ZONE));
+    assert!(cordons.has(ZONE));
     assert!(cordons.uncordon(&cordon(9_000)));
-    assert!(!cordons.contains("made-up-4999"));
+    assert!(!cordons.has("made-up-4999"));
 }
