--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -67,5 +67,5 @@
     deserializer: D,
 ) -> Result<Vec<(u32, EndpointWork)>, D::Error> {
     let compact = Vec::<CompactWork>::deserialize(deserializer)?;
-    Ok(compact.iter().map(CompactWork::work).collect())
+    Ok(compact.iter().map(CompactWork::to_work).collect())
 }
