--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -64,7 +64,7 @@
 pub struct ResponseInfo {
     /// Whether it belongs to the current request; otherwise it is a late response to an earlier
     /// one.
-    pub is_own: bool,
+    pub belongs_to_request: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
     /// Whether a different endpoint than the intended one has this address.
@@ -80,9 +80,9 @@
     pub announcement: Announcement,
 }
 
-/// Why a caller gets an error response that the entry itself makes.
+/// An error response that the entry itself sends to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ErrorResponse {
     /// The request did not run and will not; the caller may retry after the given time.
     NotRun(Millis),
     /// The request may have run, but its outcome is unknown.
@@ -190,7 +190,7 @@
     /// Path at which the load balancer checks whether this entry accepts connections.
     fn readiness_path(&self) -> &str;
     /// Parses the head of a caller's request. The error is the response that the caller gets.
-    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, Refusal>;
+    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, ErrorResponse>;
     /// Makes the head of the request to an endpoint; the body is forwarded unchanged.
     fn endpoint_request(
         &self,
@@ -203,7 +203,7 @@
     fn caller_response(&self, head: &ResponseHead) -> ResponseHead;
     /// Makes the head of an error response of the entry itself; `id` is `None` where the request
     /// could not be parsed.
-    fn error_response(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
+    fn error_response(&self, error: ErrorResponse, id: Option<&HeaderValue>) -> ResponseHead;
 
     /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -12,7 +12,7 @@
 use crate::direct::dialect::ResponseInfo;
 use crate::direct::directory::EndpointKey;
 use crate::direct::ends::EndSign;
-use crate::direct::entry::{Life, Placed};
+use crate::direct::entry::{ProcessState, RunGuard};
 use crate::direct::health::Fault;
 use crate::direct::relay::{self, RelayContext, RelayError};
 
@@ -24,7 +24,7 @@
     /// The endpoint, with what was estimated for it.
     pub(super) choice: Choice,
     /// Keeps the request in the endpoint's load.
-    pub(super) placed: &'a Placed,
+    pub(super) placed: &'a RunGuard,
     /// When the request was sent.
     pub(super) sent_at: Millis,
 }
@@ -44,9 +44,9 @@
             .response_info(&answered.reply.head, &self.ask.id);
         self.heard(key, &response_info, now);
         let (announcement, id) = (response_info.announcement, self.ask.id.as_bytes());
-        self.entry.endpoint_announced(key, announcement, id);
+        self.entry.record_announcement(key, announcement, id);
         self.entry
-            .endpoint_limited(key, announcement.limit, answered.sent_at, id);
+            .record_announced_limit(key, announcement.limit, answered.sent_at, id);
         if response_info.misdirected {
             answered.placed.undecided();
             return self.misdirected(key);
@@ -77,10 +77,10 @@
 
     /// Takes note of what the endpoint tells of itself.
     fn heard(&self, key: EndpointKey, response_info: &ResponseInfo, now: Millis) {
-        self.entry.account(key, |account| {
-            account.hear(now);
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            endpoint_state.record_contact(now);
             if let Some(report) = response_info.report {
-                account.load.record_report(report, now);
+                endpoint_state.load.record_report(report, now);
             }
         });
     }
@@ -121,7 +121,7 @@
         if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
-                .account(key, |account| account.load.mark_full(now));
+                .update_endpoint_state(key, |endpoint_state| endpoint_state.load.mark_full(now));
             self.note_turned_away();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
@@ -130,7 +130,7 @@
         }
         self.log_failed(key, &format!("not run, status {}", status.as_u16()), false);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "not_run");
+        self.entry.metrics.attempt(&self.pool, urgency, "not_run");
         Attempt::NotRun(key)
     }
 
@@ -140,9 +140,9 @@
         let directory = self.entry.directory();
         let slots = directory.get(key).map_or(1, |e| e.listed.slots.max(1));
         let mut busy = false;
-        self.entry.account(key, |account| {
-            let running = account.load.total(now).running;
-            busy = running * 2 >= slots || account.load.waiting(now) > 0;
+        self.entry.update_endpoint_state(key, |endpoint_state| {
+            let running = endpoint_state.load.total(now).running;
+            busy = running * 2 >= slots || endpoint_state.load.waiting(now) > 0;
         });
         busy
     }
@@ -152,7 +152,7 @@
         self.entry.endpoint_failed(key, fault, why);
         self.log_failed(key, why, true);
         let urgency = self.route().priority;
-        self.entry.gauges.attempt(&self.pool, urgency, "lost");
+        self.entry.metrics.attempt(&self.pool, urgency, "lost");
         Attempt::Lost(key)
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// The answer's first byte is about to leave.
-    fn began(&self, choice: &Choice, placed: &Placed, sent_at: Millis) {
+    fn began(&self, choice: &Choice, placed: &RunGuard, sent_at: Millis) {
         let now = self.entry.clock.now();
         placed.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
@@ -252,18 +252,19 @@
             .prefixes
             .borrow_mut()
             .record_prefill(choice.key, ids, now);
-        self.entry.account(choice.key, |account| {
-            account.hear(now);
-            account
-                .record
-                .observe_response_time(now, now - sent_at, choice.nominal_ms);
-        });
+        self.entry
+            .update_endpoint_state(choice.key, |endpoint_state| {
+                endpoint_state.record_contact(now);
+                endpoint_state
+                    .record
+                    .observe_response_time(now, now - sent_at, choice.nominal_ms);
+            });
         let mut progress = self.progress.borrow_mut();
         if progress.first_byte_at.is_none() {
             progress.first_byte_at = Some(now);
             let ms = (now - self.incoming.received_at).0 as f64;
             self.entry
-                .gauges
+                .metrics
                 .first_byte(&self.pool, self.priority(), ms);
         }
     }
@@ -272,11 +273,11 @@
     fn keep(&self, key: EndpointKey, reply: Reply, response_info: &ResponseInfo) {
         if let Some(mut channel) = reply.into_connection() {
             channel.idle_time = response_info.idle_time;
-            self.entry.keep_channel(key, channel);
+            self.entry.keep_connection(key, channel);
         }
     }
 
     fn is_closing(&self) -> bool {
-        self.entry.life() != Life::Serving
+        self.entry.process_state() != ProcessState::Serving
     }
 }
--- a/src/direct/limits/limited.rs
+++ b/src/direct/limits/limited.rs
@@ -1,6 +1,6 @@
 //! What one entry knows of one endpoint's limit, and what it gives out as its coordinator.
 
-use super::{Allowance, Word};
+use super::{LimitObservation, PermitBucket};
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 use crate::direct::peers::ZoneId;
@@ -21,30 +21,32 @@
 pub(super) struct Limited {
     pub(super) zone: Option<ZoneId>,
     /// The word of an answer to this entry.
-    pub(super) own: Option<Word>,
+    pub(super) own: Option<LimitObservation>,
     /// When that named another limit than the one before.
     pub(super) changed: Millis,
     /// A peer's word, and when it came.
-    pub(super) told: Option<(Word, Millis)>,
+    pub(super) told: Option<(LimitObservation, Millis)>,
     /// When a permit may be asked for, by band.
-    pub(super) ask_at: [Millis; BANDS],
+    pub(super) permit_request_at: [Millis; BANDS],
     /// When the last question was asked that is not answered yet.
     pub(super) asking: Option<Millis>,
     /// Permits that are kept for the next requests, and until when.
     pub(super) kept: (u32, Millis),
     /// What this entry gives out, as its coordinator.
-    pub(super) allowance: Option<Allowance>,
+    pub(super) allowance: Option<PermitBucket>,
     /// When anything was heard of it.
-    pub(super) heard: Millis,
+    pub(super) updated_at: Millis,
 }
 
 impl Limited {
     /// The word that counts now.
-    pub(super) fn word(&self, now: Millis) -> Option<Word> {
-        let lasts = |(word, at): &(Word, Millis)| word.limit.is_none() || now < *at + TOLD_LASTS;
+    pub(super) fn word(&self, now: Millis) -> Option<LimitObservation> {
+        let lasts = |(word, at): &(LimitObservation, Millis)| {
+            word.limit.is_none() || now < *at + TOLD_LASTS
+        };
         let told = self.told.filter(lasts);
         match (self.own, told) {
-            (Some(own), Some((told, _))) if told.replaces(&own) => Some(told),
+            (Some(own), Some((told, _))) if told.supersedes(&own) => Some(told),
             (Some(own), _) => Some(own),
             (None, told) => told.map(|(word, _)| word),
         }
@@ -55,14 +57,14 @@
     }
 
     /// When a permit for a request of a band may be asked for.
-    pub(super) fn ask_at(&self, band: usize) -> Millis {
+    pub(super) fn permit_request_at(&self, band: usize) -> Millis {
         let asked = self.asking.map_or(Millis(0), |at| at + BETWEEN_ASKS);
-        self.ask_at[band].max(asked)
+        self.permit_request_at[band].max(asked)
     }
 
     /// Nothing is asked before a time, for requests of a band and of less urgent ones.
     pub(super) fn wait(&mut self, band: usize, until: Millis) {
-        for at in &mut self.ask_at[band..] {
+        for at in &mut self.permit_request_at[band..] {
             *at = until.max(*at);
         }
     }
@@ -87,11 +89,11 @@
         now: Millis,
     ) -> Result<u32, Millis> {
         let limit = self.limit(now).unwrap_or_default();
-        let begin = || match is_settled {
-            true => Allowance::begin_with_one(now),
-            false => Allowance::begin(now + HANDOVER),
+        let empty_until = || match is_settled {
+            true => PermitBucket::with_one_permit(now),
+            false => PermitBucket::empty_until(now + HANDOVER),
         };
-        let allowance = self.allowance.get_or_insert_with(begin);
+        let allowance = self.allowance.get_or_insert_with(empty_until);
         allowance.take(limit, part, band, wanted, now)
     }
 }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -3,22 +3,23 @@
 //! No entry sees what the others send, so one entry decides for each limited endpoint: its coordinator, which
 //! [`crate::direct::peers`] picks by hash among the entries of the endpoint's availability zone. It gives out permits at the
 //! rate of the limit, and an entry sends a request to a limited endpoint only with a permit. Where the coordinator can't be
-//! reached nothing is sent; where entries disagree on who it is, each gives out less than the limit, see [`Allowance`].
+//! reached nothing is sent; where entries disagree on who it is, each gives out less than the limit, see [`PermitBucket`].
 
-mod allowance;
 mod limited;
 mod message;
-mod word;
+mod observation;
+mod permit_bucket;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-pub use self::allowance::Allowance;
 use self::limited::Limited;
 pub use self::message::{
-    decode, encode, Given, Message, PermitAnswer, PermitAsk, ToldWord, MOST_TOLD,
+    decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation,
+    MAX_OBSERVATIONS,
 };
-pub use self::word::Word;
+pub use self::observation::LimitObservation;
+pub use self::permit_bucket::PermitBucket;
 use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
@@ -53,7 +54,7 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum PermitDecision {
     /// The endpoint has no limit.
     Unlimited,
     /// It may, now.
@@ -78,11 +79,11 @@
 
 impl Limits {
     /// An answer to a request came that was sent at a time; the limit in force, where that has changed.
-    pub fn hear(
+    pub fn record_answer(
         &mut self,
         target: Target,
         named: AnnouncedLimit,
-        sent: Millis,
+        sent_at: Millis,
         now: Millis,
     ) -> Option<Option<Rate>> {
         let is_known = self.by_endpoint.contains_key(&target.endpoint);
@@ -93,11 +94,15 @@
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(rate) => Some(rate),
         };
-        let heard = now;
-        let word = Word { limit, sent, heard };
+        let received_at = now;
+        let word = LimitObservation {
+            limit,
+            sent_at,
+            received_at,
+        };
         let limited = self.limited(target, now);
         let before = limited.limit(now);
-        if limited.own.is_none_or(|known| word.replaces(&known)) {
+        if limited.own.is_none_or(|known| word.supersedes(&known)) {
             if limited.own.and_then(|known| known.limit) != limit {
                 limited.changed = now;
             }
@@ -108,14 +113,19 @@
     }
 
     /// A peer told what an endpoint said to it; the limit in force, where that has changed.
-    pub fn hear_told(&mut self, target: Target, word: Word, now: Millis) -> Option<Option<Rate>> {
+    pub fn record_peer_observation(
+        &mut self,
+        target: Target,
+        word: LimitObservation,
+        now: Millis,
+    ) -> Option<Option<Rate>> {
         if word.limit.is_none() && !self.by_endpoint.contains_key(&target.endpoint) {
             return None;
         }
         let limited = self.limited(target, now);
         let before = limited.limit(now);
         let known = limited.word(now);
-        if known.is_none_or(|known| word.replaces(&known)) {
+        if known.is_none_or(|known| word.supersedes(&known)) {
             limited.told = Some((word, now));
         }
         let after = limited.limit(now);
@@ -133,90 +143,101 @@
     }
 
     /// When a permit for a request of a band may be asked for at a limited endpoint; `None` where it has no limit.
-    pub fn ask_at(&self, endpoint: u32, band: usize, now: Millis) -> Option<Millis> {
+    pub fn permit_request_at(&self, endpoint: u32, band: usize, now: Millis) -> Option<Millis> {
         let limited = self.by_endpoint.get(&endpoint)?;
         limited.limit(now)?;
-        Some(limited.ask_at(band))
+        Some(limited.permit_request_at(band))
     }
 
     /// Endpoints that have a limit now.
-    pub fn count(&self, now: Millis) -> usize {
+    pub fn limited_endpoints(&self, now: Millis) -> usize {
         let all = self.by_endpoint.values();
         all.filter(|limited| limited.limit(now).is_some()).count()
     }
 
     /// Whether a peer is not asked for now.
-    pub fn is_unanswered(&self, peer: SocketAddr, now: Millis) -> bool {
+    pub fn is_unresponsive(&self, peer: SocketAddr, now: Millis) -> bool {
         self.unanswered.get(&peer).is_some_and(|until| now < *until)
     }
 
     /// Whether a request of a band may be sent to an endpoint.
-    pub fn step(&mut self, target: Target, by: Coordinator, band: usize, now: Millis) -> Step {
+    pub fn decide(
+        &mut self,
+        target: Target,
+        by: Coordinator,
+        band: usize,
+        now: Millis,
+    ) -> PermitDecision {
         let stands_still = self.stood_still(now);
         let may_ask = self.may_ask(now);
         let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) else {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         };
         if limited.limit(now).is_none() {
-            return Step::Unlimited;
+            return PermitDecision::Unlimited;
         }
         if limited.use_kept(now) {
-            return Step::Permitted;
+            return PermitDecision::Permitted;
         }
-        let ask_at = limited.ask_at(band);
-        if now < ask_at {
-            return Step::Wait(ask_at);
+        let permit_request_at = limited.permit_request_at(band);
+        if now < permit_request_at {
+            return PermitDecision::Wait(permit_request_at);
         }
         let until = match by {
             Coordinator::Own {
                 visible_share,
                 is_settled,
             } if !stands_still => match limited.take(visible_share, is_settled, band, 1, now) {
-                Ok(_) => return Step::Permitted,
+                Ok(_) => return PermitDecision::Permitted,
                 Err(until) => until,
             },
             Coordinator::Peer(peer) if may_ask => {
                 self.asks.0 -= 1.0;
                 limited.asking = Some(now);
-                return Step::Ask(peer);
+                return PermitDecision::Ask(peer);
             }
             Coordinator::Own { .. } | Coordinator::Peer(_) | Coordinator::Unknown => {
                 now + ASK_AGAIN
             }
         };
         limited.wait(band, until);
-        Step::Wait(until)
+        PermitDecision::Wait(until)
     }
 
     /// The question to the coordinator of an endpoint, while so many requests wait for any permit.
-    pub fn question(
+    pub fn permit_request(
         &self,
         target: Target,
         number: u32,
         band: usize,
         waiting: u32,
         now: Millis,
-    ) -> PermitAsk {
+    ) -> PermitRequest {
         let share = waiting / (self.by_endpoint.len() as u32).max(1);
         let limited = self.by_endpoint.get(&target.endpoint);
         let own = limited.and_then(|limited| limited.own);
-        PermitAsk {
+        PermitRequest {
             number,
             endpoint: target.endpoint,
             zone: target.zone,
             band: band as u8,
             wanted: (1 + share).min(MOST_WANTED) as u8,
-            word: own.map(|word| ToldWord::of(&word, now)),
+            word: own.map(|word| WireObservation::of(&word, now)),
         }
     }
 
     /// Answers a question.
-    pub fn asked(&mut self, ask: &PermitAsk, by: Coordinator, now: Millis) -> PermitAnswer {
+    pub fn handle_request(
+        &mut self,
+        ask: &PermitRequest,
+        by: Coordinator,
+        now: Millis,
+    ) -> PermitResponse {
         let (endpoint, zone) = (ask.endpoint, ask.zone);
         let target = Target { endpoint, zone };
-        let told = ask.word.map(|told| told.word(now));
+        let told = ask.word.map(|told| told.observation(now));
         if let Some(word) = told {
-            self.hear_told(target, word, now);
+            self.record_peer_observation(target, word, now);
         }
         let stands_still = self.stood_still(now);
         let limited = self.limited(target, now);
@@ -224,71 +245,73 @@
         let band = usize::from(ask.band).min(BANDS - 1);
         let given = match by {
             // It has ended, and the asker learns that from the word.
-            _ if known.is_some_and(|word| word.limit.is_none()) => Given::Permits(1),
+            _ if known.is_some_and(|word| word.limit.is_none()) => PermitGrant::Permits(1),
             Coordinator::Own {
                 visible_share,
                 is_settled,
             } if !stands_still => {
                 let wanted = u32::from(ask.wanted).min(MOST_WANTED);
                 match limited.take(visible_share, is_settled, band, wanted, now) {
-                    Ok(given) => Given::Permits(given as u8),
-                    Err(until) => Given::Nothing((until - now).as_u32()),
+                    Ok(given) => PermitGrant::Permits(given as u8),
+                    Err(until) => PermitGrant::Nothing((until - now).as_u32()),
                 }
             }
-            Coordinator::Peer(peer) => Given::Elsewhere(peer),
-            Coordinator::Own { .. } | Coordinator::Unknown => Given::Nothing(ASK_AGAIN.as_u32()),
+            Coordinator::Peer(peer) => PermitGrant::Elsewhere(peer),
+            Coordinator::Own { .. } | Coordinator::Unknown => {
+                PermitGrant::Nothing(ASK_AGAIN.as_u32())
+            }
         };
         let is_news = known.map(|word| word.limit) != told.map(|word| word.limit);
         let word = known.filter(|_| is_news);
-        PermitAnswer {
+        PermitResponse {
             number: ask.number,
             given,
-            word: word.map(|word| ToldWord::of(&word, now)),
+            word: word.map(|word| WireObservation::of(&word, now)),
         }
     }
 
     /// Takes an answer, `None` where `peer` gave none; whether it is a permit, and else whom to ask.
-    pub fn answered(
+    pub fn handle_response(
         &mut self,
         target: Target,
         peer: SocketAddr,
-        answer: Option<&PermitAnswer>,
+        answer: Option<&PermitResponse>,
         band: usize,
         now: Millis,
-    ) -> Step {
+    ) -> PermitDecision {
         if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
             limited.asking = None;
         }
         let Some(answer) = answer else {
             self.unanswered.insert(peer, now + UNANSWERED);
-            return self.wait(target, 0, now + ASK_AGAIN);
+            return self.postpone(target, 0, now + ASK_AGAIN);
         };
         self.unanswered.remove(&peer);
         if let Some(told) = answer.word {
-            self.hear_told(target, told.word(now), now);
+            self.record_peer_observation(target, told.observation(now), now);
         }
         match answer.given {
-            Given::Permits(0) => self.wait(target, band, now + ASK_AGAIN),
-            Given::Permits(given) => {
+            PermitGrant::Permits(0) => self.postpone(target, band, now + ASK_AGAIN),
+            PermitGrant::Permits(given) => {
                 if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
                     limited.kept = (u32::from(given) - 1, now + KEPT);
                 }
-                Step::Permitted
+                PermitDecision::Permitted
             }
-            Given::Nothing(ms) => self.wait(target, band, now + Millis(ms.into())),
-            Given::Elsewhere(other) if self.is_unanswered(other, now) => {
-                self.wait(target, 0, now + ASK_AGAIN)
+            PermitGrant::Nothing(ms) => self.postpone(target, band, now + Millis(ms.into())),
+            PermitGrant::Elsewhere(other) if self.is_unresponsive(other, now) => {
+                self.postpone(target, 0, now + ASK_AGAIN)
             }
-            Given::Elsewhere(other) => Step::Ask(other),
+            PermitGrant::Elsewhere(other) => PermitDecision::Ask(other),
         }
     }
 
     /// Nothing is asked for an endpoint before a time, for requests of a band and of less urgent ones.
-    pub fn wait(&mut self, target: Target, band: usize, until: Millis) -> Step {
+    pub fn postpone(&mut self, target: Target, band: usize, until: Millis) -> PermitDecision {
         if let Some(limited) = self.by_endpoint.get_mut(&target.endpoint) {
             limited.wait(band, until);
         }
-        Step::Wait(until)
+        PermitDecision::Wait(until)
     }
 
     /// A round: what other entries coordinate is no longer given out here, and what is over is forgotten.
@@ -304,21 +327,21 @@
             if limited.allowance.is_some() && (stood_still || !is_own(target)) {
                 limited.allowance = None;
             }
-            limited.limit(now).is_some() || now < limited.heard + FORGET
+            limited.limit(now).is_some() || now < limited.updated_at + FORGET
         });
     }
 
     /// The newest of what endpoints said to this entry since a time that was not as before.
-    pub fn news(&self, since: Millis, now: Millis) -> Vec<(u32, ToldWord)> {
+    pub fn recent_observations(&self, since: Millis, now: Millis) -> Vec<(u32, WireObservation)> {
         let changed = self.by_endpoint.iter();
         let changed = changed.filter(|(_, limited)| limited.changed >= since);
-        let mut news: Vec<(Millis, u32, Word)> = changed
+        let mut recent_observations: Vec<(Millis, u32, LimitObservation)> = changed
             .filter_map(|(endpoint, limited)| Some((limited.changed, *endpoint, limited.own?)))
             .collect();
-        news.sort_by_key(|(changed, ..)| std::cmp::Reverse(*changed));
-        news.truncate(MOST_TOLD);
-        let told = news.iter();
-        told.map(|(_, endpoint, word)| (*endpoint, ToldWord::of(word, now)))
+        recent_observations.sort_by_key(|(changed, ..)| std::cmp::Reverse(*changed));
+        recent_observations.truncate(MAX_OBSERVATIONS);
+        let told = recent_observations.iter();
+        told.map(|(_, endpoint, word)| (*endpoint, WireObservation::of(word, now)))
             .collect()
     }
 
@@ -341,7 +364,7 @@
         self.make_room(target.endpoint);
         let limited = self.by_endpoint.entry(target.endpoint).or_default();
         limited.zone = target.zone.or(limited.zone);
-        limited.heard = now;
+        limited.updated_at = now;
         limited
     }
 
@@ -352,7 +375,7 @@
             return;
         }
         let all = self.by_endpoint.iter();
-        let oldest = all.min_by_key(|(_, limited)| limited.heard);
+        let oldest = all.min_by_key(|(_, limited)| limited.updated_at);
         if let Some(endpoint) = oldest.map(|(endpoint, _)| *endpoint) {
             self.by_endpoint.remove(&endpoint);
         }
--- a/src/sidecar/limited.rs
+++ b/src/sidecar/limited.rs
@@ -3,29 +3,33 @@
 use super::Sidecar;
 use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
-use crate::direct::limits::{Allowance, Word};
+use crate::direct::limits::{LimitObservation, PermitBucket};
 use crate::direct::load::BANDS;
 
 /// What the endpoint has said of its limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limited {
-    word: Word,
-    allowance: Allowance,
+    word: LimitObservation,
+    allowance: PermitBucket,
 }
 
 impl Sidecar {
     /// Takes what an answer to a call says of a limit.
-    pub fn limited(&self, named: AnnouncedLimit, sent: Millis) {
-        let heard = self.node.clock.now();
+    pub fn limited(&self, named: AnnouncedLimit, sent_at: Millis) {
+        let received_at = self.node.clock.now();
         let limit = match named {
             AnnouncedLimit::Unreadable => return,
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(rate) => Some(rate),
         };
-        let word = Word { limit, sent, heard };
+        let word = LimitObservation {
+            limit,
+            sent_at,
+            received_at,
+        };
         let mut limited = self.limited.borrow_mut();
         let known = limited.map(|limited| limited.word);
-        if known.map_or(limit.is_none(), |known| !word.replaces(&known)) {
+        if known.map_or(limit.is_none(), |known| !word.supersedes(&known)) {
             return;
         }
         if known.and_then(|known| known.limit) != limit {
@@ -34,7 +38,7 @@
         let allowance = limited.map(|limited| limited.allowance);
         *limited = Some(Limited {
             word,
-            allowance: allowance.unwrap_or_else(|| Allowance::begin(heard)),
+            allowance: allowance.unwrap_or_else(|| PermitBucket::empty_until(received_at)),
         });
     }
 
--- a/tests/limited/mod.rs
+++ b/tests/limited/mod.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use violetline::announced::AnnouncedLimit;
 use violetline::clock::Millis;
-use violetline::direct::limits::{self, Limits, Message, Step, Target};
+use violetline::direct::limits::{self, Limits, Message, PermitDecision, Target};
 use violetline::direct::peers::{
     Coordinator, GossipMessage, PeerTable, WorkScope, ZoneId, ROUND_INTERVAL,
 };
@@ -252,9 +252,9 @@
                 self.at(self.now + WAY, Event::GossipMessage(to, i, Box::new(hello)));
             }
             let since = self.members[i].book.notices_since(tell.work_scope, now);
-            let news = self.members[i].limits.news(since, now);
-            if !news.is_empty() {
-                self.send(i, to, Message::Told(news));
+            let recent_observations = self.members[i].limits.recent_observations(since, now);
+            if !recent_observations.is_empty() {
+                self.send(i, to, Message::Told(recent_observations));
             }
         }
     }
@@ -323,7 +323,7 @@
                     zone: ask.zone,
                 };
                 let by = self.coordinator(i, target, false);
-                let answer = self.members[i].limits.asked(&ask, by, now);
+                let answer = self.members[i].limits.handle_request(&ask, by, now);
                 self.send(i, from, Message::Answer(answer));
             }
             Message::Answer(answer) => {
@@ -331,14 +331,16 @@
                     let t = target(question.engine, self.day.zones);
                     let (peer, band) = (address(question.peer), question.asked.band);
                     let limits = &mut self.members[i].limits;
-                    let step = limits.answered(t, peer, Some(&answer), band, now);
+                    let step = limits.handle_response(t, peer, Some(&answer), band, now);
                     self.steps(question.asked, question.engine, step, question.hops);
                 }
             }
             Message::Told(told) => {
                 for (endpoint, word) in told {
                     let t = target(endpoint as usize - 1, self.day.zones);
-                    self.members[i].limits.hear_told(t, word.word(now), now);
+                    self.members[i]
+                        .limits
+                        .record_peer_observation(t, word.observation(now), now);
                 }
             }
         }
@@ -347,11 +349,11 @@
     fn coordinator(&self, i: usize, t: Target, asks: bool) -> Coordinator {
         let now = self.time();
         let member = &self.members[i];
-        let is_unanswered = |peer| asks && member.limits.is_unanswered(peer, now);
+        let is_unresponsive = |peer| asks && member.limits.is_unresponsive(peer, now);
         let started = Millis(member.started);
         member
             .book
-            .coordinator(t.endpoint, t.zone, started, now, is_unanswered)
+            .coordinator(t.endpoint, t.zone, started, now, is_unresponsive)
     }
 
     fn pick_entry(&mut self) -> usize {
@@ -385,18 +387,21 @@
         }
         let now = self.time();
         let engines = 0..self.day.limited + self.day.free;
-        let ask_at = |engine: usize| {
+        let permit_request_at = |engine: usize| {
             let endpoint = target(engine, 1).endpoint;
-            member.limits.ask_at(endpoint, asked.band, now)
+            member.limits.permit_request_at(endpoint, asked.band, now)
         };
         let keeps = self.day.keeps;
-        let is_open = |engine: &usize| match ask_at(*engine) {
+        let is_open = |engine: &usize| match permit_request_at(*engine) {
             Some(at) if keeps => at <= now && asked.refusals < MOST_REFUSALS,
             _ => true,
         };
         let open: Vec<usize> = engines.clone().filter(is_open).collect();
         if open.is_empty() {
-            let first = engines.filter_map(ask_at).min().unwrap_or(Millis(0));
+            let first = engines
+                .filter_map(permit_request_at)
+                .min()
+                .unwrap_or(Millis(0));
             let at = first.0.max(self.now) + 5 * (1 + asked.band as u64);
             if at > asked.came + WAITS {
                 self.refused += 1;
@@ -412,20 +417,20 @@
         let by = self.coordinator(asked.entry, t, true);
         let limits = &mut self.members[asked.entry].limits;
         let step = match self.day.keeps {
-            true => limits.step(t, by, asked.band, now),
-            false => Step::Unlimited,
+            true => limits.decide(t, by, asked.band, now),
+            false => PermitDecision::Unlimited,
         };
         self.steps(asked, engine, step, 0);
     }
 
-    fn steps(&mut self, mut asked: Asked, engine: usize, step: Step, hops: u32) {
+    fn steps(&mut self, mut asked: Asked, engine: usize, step: PermitDecision, hops: u32) {
         let i = asked.entry;
         match step {
-            Step::Unlimited | Step::Permitted => {
+            PermitDecision::Unlimited | PermitDecision::Permitted => {
                 let life = self.members[i].life;
                 self.at(self.now + WAY, Event::Reaches(asked, engine, life));
             }
-            Step::Ask(peer) if hops < 2 => {
+            PermitDecision::Ask(peer) if hops < 2 => {
                 let now = self.time();
                 let peer = self.by_address[&peer];
                 let t = target(engine, self.day.zones);
@@ -434,7 +439,7 @@
                 let number = member.next;
                 let ask = member
                     .limits
-                    .question(t, number, asked.band, member.waiting, now);
+                    .permit_request(t, number, asked.band, member.waiting, now);
                 let question = Question {
                     asked,
                     engine,
@@ -446,7 +451,7 @@
                 self.send(i, peer, Message::Ask(ask));
                 self.at(self.now + ANSWER_TIME, Event::TimeOver(i, life, number));
             }
-            Step::Wait(_) | Step::Ask(_) => {
+            PermitDecision::Wait(_) | PermitDecision::Ask(_) => {
                 asked.refusals += 1;
                 self.asks(asked);
             }
@@ -461,7 +466,7 @@
             let t = target(question.engine, self.day.zones);
             let (now, peer) = (self.time(), address(question.peer));
             let limits = &mut self.members[i].limits;
-            let step = limits.answered(t, peer, None, question.asked.band, now);
+            let step = limits.handle_response(t, peer, None, question.asked.band, now);
             self.steps(question.asked, question.engine, step, question.hops);
         }
     }
@@ -488,7 +493,9 @@
             false => AnnouncedLimit::None,
         };
         let t = target(engine, self.day.zones);
-        member.limits.hear(t, named, Millis(sent), Millis(self.now));
+        member
+            .limits
+            .record_answer(t, named, Millis(sent), Millis(self.now));
         if engine < self.day.limited {
             member.told.entry(engine).or_insert(self.now);
         }
