--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -31,7 +31,7 @@
     pub path: String,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptSegment>,
-    /// Tokens that the answer may have, by the caller's own guess where it gives one.
+    /// Expected length of the response, in tokens; the caller's own estimate where it gives one.
     pub output_tokens: u64,
     /// Number of the last event that the caller has received; set when it resumes a stream.
     pub last_event: Option<u64>,
@@ -72,9 +72,9 @@
     /// Whether it carries the header by which an endpoint marks its own responses; without it, a
     /// success does not count.
     pub sealed: bool,
-    /// Load that it tells.
+    /// Load that the endpoint reports.
     pub report: Option<EndpointReport>,
-    /// Time that the endpoint keeps an idle connection.
+    /// Idle time after which the endpoint closes a connection.
     pub idle_time: Option<Millis>,
     /// What the endpoint announces about accepting requests.
     pub announcement: Announcement,
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -261,7 +261,7 @@
     }
 }
 
-/// The work that a datagram tells, by the digests of the endpoints.
+/// The work to report in a message, by the digests of the endpoints.
 fn reported_work(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, EndpointWork)> {
     let work_at = |load: &EndpointLoad| match work_scope {
         WorkScope::Sender => load.own(now),
@@ -309,7 +309,7 @@
     receipt.is_new
 }
 
-/// Takes what a peer tells of work at each endpoint.
+/// Updates the load of each endpoint from the work in a message.
 fn apply_work(entry: &Entry, message: &GossipMessage, now: Millis) {
     let table = entry.peers.borrow();
     let (teller, ttl) = match (message.work_scope, message.zone) {
@@ -317,12 +317,12 @@
         (WorkScope::Zone, Some(zone)) => (LoadSource::Zone(zone), table.zone_report_ttl(now)),
         (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
-    let told: HashMap<u32, EndpointWork> = message.work.iter().copied().collect();
+    let reported: HashMap<u32, EndpointWork> = message.work.iter().copied().collect();
     let directory = entry.directory();
     let mut endpoint_states = entry.endpoint_states_mut();
     for (key, endpoint_state) in endpoint_states.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
-        match digest.and_then(|digest| told.get(&digest)) {
+        match digest.and_then(|digest| reported.get(&digest)) {
             Some(work) => endpoint_state.load.record_remote(teller, *work, ttl, now),
             None => endpoint_state.load.record_remote_idle(teller, now),
         }
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -29,8 +29,8 @@
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
     if entry.process_state() == ProcessState::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
-        let refusal = ErrorResponse::NotRun(RETRY_ELSEWHERE_AFTER);
-        return refuse::write(entry, answerer, refusal, Some(&parsed)).await;
+        let error = ErrorResponse::NotRun(RETRY_ELSEWHERE_AFTER);
+        return refuse::write(entry, answerer, error, Some(&parsed)).await;
     }
     let allowed = match entry.allow(&parsed) {
         Ok(allowed) => allowed,
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -76,7 +76,8 @@
     /// left out.
     #[serde(with = "compact")]
     pub work: Vec<(u32, EndpointWork)>,
-    /// Prompts that they placed lately.
+    /// Placements of prompts made lately, by the entries in `work_scope`.
+    #[serde(rename = "placed")]
     pub placements: Vec<PromptPlacement>,
 }
 
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Mean time for which what another entry does stays unseen here; 0 without peers.
+    /// Mean time until what another entry does is known here; 0 without peers.
     pub fn visibility_delay(&self, now: Millis) -> Millis {
-        let neighbors = self.neighbor_cycle();
-        let turns = neighbors + self.zone_interval(now);
-        Millis(turns.0 / 2)
+        let neighbor_cycle = self.neighbor_cycle();
+        let delay = neighbor_cycle + self.zone_interval(now);
+        Millis(delay.0 / 2)
     }
 
     /// Returns the time since which placements are sent: some cycles back, so that a lost datagram
--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -100,7 +100,7 @@
             .map(|ms| Millis(ms) - KEY_REMOVAL_MARGIN)
     }
 
-    /// The retry budget over all entries.
+    /// The retry budget of a pool, over all entries.
     pub fn retry_budget(&self) -> RetryBudget {
         RetryBudget {
             window: Millis(self.retry_window_ms),
