--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -1,4 +1,4 @@
-//! The lines of a request in the decision log.
+//! The decision-log records of a request.
 
 use super::Job;
 use crate::clock::Millis;
@@ -9,7 +9,7 @@
 use crate::rate::Rate;
 
 impl Job<'_> {
-    /// Logs that the request is about to be sent to `endpoint`.
+    /// Logs that the request is about to be sent to `endpoint`, and counts the attempt.
     pub(super) fn log_placed(&self, choice: &Choice, endpoint: &str, now: Millis) {
         self.progress.borrow_mut().endpoint = endpoint.into();
         let mut running = 0;
@@ -33,30 +33,30 @@
             expected_ms: choice.expected_ms as u64,
             cached: choice.reuse.cached,
             moved: choice.reuse.moved,
-            moved_from: self.source_id(choice),
+            moved_from: self.source_endpoint_id(choice),
             unread: choice.footprint.unread,
             running,
             catalog: self.catalog.version,
             proof_age_ms: self.entry.proof_age().map(|age| age.0),
-            left_ms: (self.end - now).0,
+            left_ms: (self.deadline - now).0,
             against,
             limit_per_s: limit.map(Rate::per_s),
-            copy: self.copy_id(),
-            takes_over: self.takes_over,
+            copy: self.copy_endpoint_id(),
+            takes_over: self.resumes_from_copy,
         };
         self.entry.log.request(self.ask.id.as_bytes(), placed);
         let urgency = self.route().priority;
         self.entry.metrics.attempt(&self.pool, urgency, "sent");
     }
 
-    /// Identity of the endpoint that parts of the prompt are taken from.
-    fn source_id(&self, choice: &Choice) -> Option<String> {
+    /// Id of the endpoint from which parts of the prompt are fetched.
+    fn source_endpoint_id(&self, choice: &Choice) -> Option<String> {
         let directory = self.entry.directory();
         let source = directory.get(choice.reuse.from?)?;
         Some(source.listed.id.clone())
     }
 
-    /// Logs that an attempt failed.
+    /// Logs a failed attempt; `may_have_run` tells whether the endpoint may have run it.
     pub(super) fn log_failed(&self, key: EndpointKey, failure: &str, may_have_run: bool) {
         let now = self.entry.clock.now();
         let directory = self.entry.directory();
@@ -75,7 +75,7 @@
                 .map(|endpoint_state| endpoint_state.load.total(now).running.saturating_sub(1)),
             slots: listed.map(|listed| listed.slots),
             fingerprint: if may_have_run {
-                self.request.to_string()
+                self.fingerprint.to_string()
             } else {
                 String::new()
             },
@@ -83,7 +83,8 @@
         self.entry.log.request(self.ask.id.as_bytes(), failed);
     }
 
-    /// Logs and counts the end of the request.
+    /// Logs and counts the end of the request; `status` is 0 where the caller got no complete
+    /// answer.
     pub(super) fn log_ended(&self, how: RequestOutcome, status: u16) {
         let progress = self.progress.borrow();
         progress.log_ended(self.entry, self.incoming, how, status);
