--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -6,10 +6,10 @@
 use violetline::direct::choose::choose;
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, ListedEndpoint};
-use violetline::direct::health::Record;
-use violetline::direct::load::Load;
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::health::HealthRecord;
+use violetline::direct::load::EndpointLoad;
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 
@@ -40,13 +40,13 @@
     }
     let mut prefixes = PrefixMap::default();
     for (key, _) in directory.iter().step_by(3) {
-        prefixes.note(key, [1, 2].into_iter(), NOW, NOW);
+        prefixes.record_use(key, [1, 2].into_iter(), NOW, NOW);
     }
-    let (load, record) = (Load::default(), Record::default());
+    let (load, record) = (EndpointLoad::default(), HealthRecord::default());
     let tokens = [2_500, 3_800, 2_900];
-    let parts: Vec<Part> = (1..)
+    let parts: Vec<PromptSegment> = (1..)
         .zip(tokens)
-        .map(|(id, tokens)| Part { id, tokens })
+        .map(|(id, tokens)| PromptSegment { id, tokens })
         .collect();
     let demand = Demand {
         band: 1,
@@ -62,10 +62,10 @@
                 link_mbps: 740_000,
             }),
         }),
-        delicate: 44,
+        pause_sensitivity: 44,
         pause: Millis(200),
-        blind: Millis(75),
-        room: RoomFor::default(),
+        visibility_delay: Millis(75),
+        room: RoomInputs::default(),
         draw: 1,
     };
     bencher.bench_local(|| {
@@ -74,7 +74,7 @@
             endpoint,
             load: &load,
             record: &record,
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(black_box(demand), candidates, &prefixes, NOW)
--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -5,10 +5,10 @@
 use crate::clock::Millis;
 use crate::direct::catalog::EngineCapacity;
 use crate::direct::directory::{Endpoint, EndpointKey};
-use crate::direct::health::Record;
-use crate::direct::load::{Load, Work};
-use crate::direct::prefix::Part;
-use crate::direct::room::RoomFor;
+use crate::direct::health::HealthRecord;
+use crate::direct::load::{EndpointLoad, EndpointWork};
+use crate::direct::prefix::PromptSegment;
+use crate::direct::room::RoomInputs;
 use crate::mix_bits::mix_bits;
 
 /// What is to be placed.
@@ -17,7 +17,7 @@
     /// Band of urgency.
     pub band: usize,
     /// Parts of the prompt; empty for plain services.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptSegment],
     /// Tokens that the answer may have.
     pub output_tokens: u64,
     /// Time within which the first event is in time.
@@ -28,13 +28,13 @@
     pub engine: Option<EngineCapacity>,
     /// How much the answer suffers when prompts are read beside it, in hundredths: 100 for the
     /// stream with the tightest pauses.
-    pub delicate: u32,
+    pub pause_sensitivity: u32,
     /// Tightest pause among the pool's streams; 0 where there are none.
     pub pause: Millis,
     /// How long other entries' choices stay unseen here; 0 where there are none.
-    pub blind: Millis,
+    pub visibility_delay: Millis,
     /// What room at an endpoint is for.
-    pub room: RoomFor,
+    pub room: RoomInputs,
     /// A random number, so that entries that know the same don't all choose the same endpoint.
     pub draw: u64,
 }
@@ -85,30 +85,30 @@
     /// Its entry in the directory.
     pub endpoint: &'a Endpoint,
     /// Its load.
-    pub load: &'a Load,
+    pub load: &'a EndpointLoad,
     /// Its record.
-    pub record: &'a Record,
+    pub record: &'a HealthRecord,
     /// Whether it is taken to warm up.
-    pub warming: bool,
+    pub is_warming: bool,
     /// Whether it has named a limit.
     pub is_limited: bool,
 }
 
 /// An endpoint with what is known of it for one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct CandidateState<'a> {
     /// The endpoint.
     pub candidate: Candidate<'a>,
     /// Its load from all entries, as far as known.
-    pub total: Work,
+    pub total: EndpointWork,
     /// Tokens at the head of the prompt that it is known to keep, or will once it has read what was
     /// sent to it.
-    pub known: u64,
+    pub cached_tokens: u64,
     /// Those of them that it has read, so that others can take them from it.
-    pub ready: u64,
+    pub transferable_tokens: u64,
     /// Whether it is kept for delicate streams.
-    pub is_kept: bool,
+    pub is_reserved: bool,
     /// Shared tokens of the prompt that no endpoint is known to keep, where this is their home; `None`
     /// elsewhere.
-    pub first_read: Option<u64>,
+    pub uncached_home_tokens: Option<u64>,
 }
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -12,8 +12,8 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Listing, Revision};
-use crate::direct::load::Report;
-use crate::direct::prefix::Part;
+use crate::direct::load::EndpointReport;
+use crate::direct::prefix::PromptSegment;
 
 /// The properties of a caller's request that decisions depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Path without query.
     pub path: String,
     /// Parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     /// Expected length of the response, in tokens; the caller's own estimate where it gives one.
     pub output_tokens: u64,
     /// Number of the last event that the caller has received; set when it resumes a stream.
@@ -73,7 +73,7 @@
     /// success does not count.
     pub sealed: bool,
     /// Load that the endpoint reports.
-    pub report: Option<Report>,
+    pub report: Option<EndpointReport>,
     /// Idle time after which the endpoint closes a connection.
     pub idle_time: Option<Millis>,
     /// What the endpoint announces about accepting requests.
@@ -109,7 +109,7 @@
     /// The endpoints and cordons on this page.
     pub listing: Listing,
     /// Entries that can't be parsed; they are ignored.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableEntry>,
     /// Key after which the next page starts; `None` for the last page.
     pub next: Option<String>,
     /// The store's revision when it answered.
@@ -118,7 +118,7 @@
 
 /// An entry of the store that can't be parsed; another program may have written it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableEntry {
     /// Its key.
     pub key: String,
     /// The error.
@@ -143,7 +143,7 @@
     Change(Change),
     /// An entry that can't be parsed. Where its key is that of an endpoint, that endpoint is no
     /// longer listed, which is the change.
-    Unreadable(Unreadable, Option<Change>),
+    UnreadableEntry(UnreadableEntry, Option<Change>),
 }
 
 /// Which documents a watch covers.
--- a/src/direct/entry/catalog_and_list.rs
+++ b/src/direct/entry/catalog_and_list.rs
@@ -9,12 +9,12 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::changes::ChangeBatch;
 use crate::direct::decision::Decision;
-use crate::direct::dialect::{ParsedRequest, Unreadable};
+use crate::direct::dialect::{ParsedRequest, UnreadableEntry};
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
-use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
+use crate::direct::resolve::{resolve, Allowed, CatalogState, Denied};
 use crate::direct::versions::{self, EncodedPatch, VersionUpdate};
 
 /// Most keys of unreadable store entries that are remembered, so that each is logged once.
@@ -262,7 +262,7 @@
     }
 
     /// Counts a store entry that cannot be read, and logs it the first time.
-    pub fn report_unreadable(&self, found: Unreadable) {
+    pub fn report_unreadable(&self, found: UnreadableEntry) {
         self.metrics.unreadable();
         let mut known = self.unreadable.borrow_mut();
         if known.len() < MAX_UNREADABLE_KEYS && known.insert(found.key.clone()) {
@@ -317,7 +317,7 @@
     pub fn allow(&self, ask: &ParsedRequest) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
-        let knowledge = Knowledge {
+        let knowledge = CatalogState {
             catalog: catalog.as_deref(),
             freshness: &freshness,
             max_key_proof_age: self.settings.borrow().bounds.max_key_proof_age(),
--- a/src/direct/handle.rs
+++ b/src/direct/handle.rs
@@ -11,7 +11,7 @@
 use crate::direct::intake::IncomingRequest;
 use crate::direct::job::Job;
 use crate::direct::progress::Progress;
-use crate::direct::refuse::{self, COME_BACK_ELSEWHERE};
+use crate::direct::refuse::{self, RETRY_ELSEWHERE_AFTER};
 use crate::direct::resolve::Denied;
 
 /// Handles a request and writes its response; returns false where the connection must be closed
@@ -29,7 +29,7 @@
     progress.borrow_mut().id = parsed.id.as_bytes().to_vec();
     if entry.process_state() == ProcessState::Stopping {
         refuse::log(entry, &parsed, incoming, RefusalReason::Stopping, None);
-        let error = ErrorResponse::NotRun(COME_BACK_ELSEWHERE);
+        let error = ErrorResponse::NotRun(RETRY_ELSEWHERE_AFTER);
         return refuse::write(entry, answerer, error, Some(&parsed)).await;
     }
     let allowed = match entry.allow(&parsed) {
--- a/src/direct/lanes.rs
+++ b/src/direct/lanes.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashSet;
 
-use crate::direct::demand::{Candidate, Seen};
+use crate::direct::demand::{Candidate, CandidateState};
 use crate::direct::directory::EndpointKey;
 use crate::direct::load;
 
@@ -28,37 +28,37 @@
 
 /// The endpoints of a pool that are kept for delicate streams; empty where nothing is to be parted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Lanes {
-    delicate: HashSet<EndpointKey>,
+pub struct StreamPartition {
+    reserved: HashSet<EndpointKey>,
 }
 
-impl Lanes {
-    /// Parts the endpoints that are well in proportion to both kinds of load; `read_per_ms` is the
+impl StreamPartition {
+    /// Parts the endpoints that are well in proportion to both kinds of load; `prefill_tokens_per_ms` is the
     /// number of prompt tokens that an endpoint reads in a millisecond.
-    pub fn part(all: &[Seen<'_>], read_per_ms: f64) -> Self {
+    pub fn compute(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut well: Vec<&Candidate<'_>> = all
             .iter()
-            .map(|seen| &seen.candidate)
-            .filter(|candidate| !candidate.record.is_aside())
+            .map(|state| &state.candidate)
+            .filter(|candidate| !candidate.record.is_ejected())
             .collect();
         if well.len() < 2 {
             return Self::default();
         }
         well.sort_by_key(|candidate| candidate.endpoint.digest);
-        let needs = Needs::of(all, read_per_ms);
+        let needs = Needs::of(all, prefill_tokens_per_ms);
         if needs.writing > most_writing(well.len() as f64) {
             return Self::default();
         }
         let kept = needs.share() * well.len() as f64;
         let kept = (kept.round() as usize).clamp(1, well.len() - 1);
         Self {
-            delicate: well[..kept].iter().map(|candidate| candidate.key).collect(),
+            reserved: well[..kept].iter().map(|candidate| candidate.key).collect(),
         }
     }
 
     /// Whether an endpoint is kept for delicate streams.
-    pub fn is_delicate(&self, key: EndpointKey) -> bool {
-        self.delicate.contains(&key)
+    pub fn is_reserved(&self, key: EndpointKey) -> bool {
+        self.reserved.contains(&key)
     }
 }
 
@@ -70,13 +70,14 @@
 }
 
 impl Needs {
-    fn of(all: &[Seen<'_>], read_per_ms: f64) -> Self {
+    fn of(all: &[CandidateState<'_>], prefill_tokens_per_ms: f64) -> Self {
         let mut needs = Self::default();
-        for seen in all {
-            let work = &seen.total;
-            let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-            needs.writing += load::streams(work.delicate) / (slots * STREAMS_PART);
-            needs.reading += work.read_per_ms() / (read_per_ms * READING_PART);
+        for state in all {
+            let work = &state.total;
+            let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
+            needs.writing +=
+                load::stream_equivalents(work.pause_sensitivity) / (slots * STREAMS_PART);
+            needs.reading += work.prefill_tokens_per_ms() / (prefill_tokens_per_ms * READING_PART);
         }
         needs
     }
--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -22,11 +22,11 @@
 const REPORT_WORD: Millis = Millis(300);
 
 /// A whole delicate stream, in hundredths.
-pub const WHOLE: u32 = 100;
+pub const FULL_STREAM: u32 = 100;
 
 /// Delicate streams from hundredths.
-pub fn streams(hundredths: u32) -> f64 {
-    f64::from(hundredths) / f64::from(WHOLE)
+pub fn stream_equivalents(hundredths: u32) -> f64 {
+    f64::from(hundredths) / f64::from(FULL_STREAM)
 }
 
 /// Band of a priority.
@@ -36,7 +36,7 @@
 
 /// Urgency that an endpoint is told, 0 to 9, of a request on a route of urgency `route` whose own, by its team, is `own`.
 ///
-/// The kind of request goes first. Told the team's urgency alone, endpoints preempted 31 to 223 requests in one burst while
+/// The kind of request goes first. RemoteWork the team's urgency alone, endpoints preempted 31 to 223 requests in one burst while
 /// less urgent kinds ran on there; told both, the route first, none in eight plays.
 pub fn urgency_at_endpoint(route: u8, own: u8) -> u8 {
     let of_route = route.min(TOLD_ROUTES) * TOLD_TEAMS;
@@ -45,7 +45,7 @@
 
 /// Work of one entry at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Work {
+pub struct EndpointWork {
     /// Requests sent and not ended.
     pub running: u32,
     /// Prompt tokens still to be read, by band.
@@ -54,15 +54,16 @@
     pub held: u32,
     /// Streams that suffer when prompts are read beside them, in hundredths: each counts by how
     /// tight its pauses are.
-    pub delicate: u32,
+    #[serde(rename = "delicate")]
+    pub pause_sensitivity: u32,
     /// Prompt tokens of coarse requests sent lately; half of them is forgotten after
     /// [`PRESSURE_HALF_LIFE_MS`].
     pub pressure: u32,
 }
 
-impl Work {
+impl EndpointWork {
     /// Nothing is under way; only pressure may be left.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let pressure = self.pressure;
         *self
             == Self {
@@ -72,13 +73,13 @@
     }
 
     /// Prompt tokens still to be read, of all bands.
-    pub fn all_unread(&self) -> u32 {
+    pub fn total_unread(&self) -> u32 {
         self.unread.iter().fold(0, |sum, n| sum.saturating_add(*n))
     }
 
     /// Prompt tokens of coarse requests that are read in a millisecond: where the load is steady,
     /// as many as are forgotten in one.
-    pub fn read_per_ms(&self) -> f64 {
+    pub fn prefill_tokens_per_ms(&self) -> f64 {
         f64::from(self.pressure) * LN_2 / PRESSURE_HALF_LIFE_MS
     }
 
@@ -93,7 +94,9 @@
             running: self.running.saturating_add(other.running),
             unread,
             held: self.held.saturating_add(other.held),
-            delicate: self.delicate.saturating_add(other.delicate),
+            pause_sensitivity: self
+                .pause_sensitivity
+                .saturating_add(other.pause_sensitivity),
             pressure: self.pressure.saturating_add(other.pressure),
         }
     }
@@ -101,7 +104,7 @@
 
 /// Who told of work at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Teller {
+pub enum LoadSource {
     /// A peer, of its own.
     Peer(PeerId),
     /// Some entry of another availability zone, of all entries there.
@@ -110,13 +113,13 @@
 
 /// What was told of work at an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    teller: Teller,
+struct RemoteWork {
+    teller: LoadSource,
     /// When it was told.
     at: Millis,
     /// Until when it counts.
     until: Millis,
-    work: Work,
+    work: EndpointWork,
 }
 
 /// What one request adds to an endpoint's load.
@@ -129,12 +132,12 @@
     /// Tokens of memory.
     pub held: u32,
     /// How much the stream suffers when prompts are read beside it, in hundredths.
-    pub delicate: u32,
+    pub pause_sensitivity: u32,
 }
 
 /// What an endpoint told of itself in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct EndpointReport {
     /// Requests that it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -148,29 +151,29 @@
 
 /// The load of one endpoint.
 #[derive(Debug, Default)]
-pub struct Load {
+pub struct EndpointLoad {
     /// This entry's own work, but for its pressure.
-    own: Work,
-    /// [`Work::pressure`] of this entry as it was at `pressure_at`.
+    own: EndpointWork,
+    /// [`EndpointWork::pressure`] of this entry as it was at `pressure_at`.
     pressure: f64,
     pressure_at: Millis,
     /// What others told.
-    told: Vec<Told>,
+    remote: Vec<RemoteWork>,
     /// What the endpoint told last, and when.
-    report: Option<(Millis, Report)>,
+    report: Option<(Millis, EndpointReport)>,
     /// Until when it is taken to be full, since it turned a request away.
     full_until: Millis,
 }
 
-impl Load {
+impl EndpointLoad {
     /// A request is sent there.
     pub fn begin(&mut self, footprint: Footprint, now: Millis) {
         self.own.running += 1;
         let unread = &mut self.own.unread[footprint.band];
         *unread = unread.saturating_add(footprint.unread);
         self.own.held = self.own.held.saturating_add(footprint.held);
-        self.own.delicate += footprint.delicate;
-        let coarse = 1.0 - streams(footprint.delicate.min(WHOLE));
+        self.own.pause_sensitivity += footprint.pause_sensitivity;
+        let coarse = 1.0 - stream_equivalents(footprint.pause_sensitivity.min(FULL_STREAM));
         self.pressure = self.pressure_now(now) + f64::from(footprint.unread) * coarse;
         self.pressure_at = now;
     }
@@ -185,13 +188,22 @@
     pub fn end(&mut self, footprint: Footprint) {
         self.own.running = self.own.running.saturating_sub(1);
         self.own.held = self.own.held.saturating_sub(footprint.held);
-        self.own.delicate = self.own.delicate.saturating_sub(footprint.delicate);
+        self.own.pause_sensitivity = self
+            .own
+            .pause_sensitivity
+            .saturating_sub(footprint.pause_sensitivity);
     }
 
     /// Work there was told; it counts for `lasts` unless it is told anew.
-    pub fn told(&mut self, teller: Teller, work: Work, lasts: Millis, now: Millis) {
-        self.told.retain(|told| told.teller != teller);
-        self.told.push(Told {
+    pub fn record_remote(
+        &mut self,
+        teller: LoadSource,
+        work: EndpointWork,
+        lasts: Millis,
+        now: Millis,
+    ) {
+        self.remote.retain(|told| told.teller != teller);
+        self.remote.push(RemoteWork {
             teller,
             at: now,
             until: now + lasts,
@@ -200,36 +212,36 @@
     }
 
     /// Nothing is under way there by the newest word of a teller: only the pressure of what was is left.
-    pub fn told_at_rest(&mut self, teller: Teller, now: Millis) {
-        let Some(at) = self.told.iter().position(|told| told.teller == teller) else {
+    pub fn record_remote_idle(&mut self, teller: LoadSource, now: Millis) {
+        let Some(at) = self.remote.iter().position(|told| told.teller == teller) else {
             return;
         };
-        let told = &mut self.told[at];
+        let told = &mut self.remote[at];
         let pressure = fade(f64::from(told.work.pressure), now - told.at) as u32;
         if pressure < LEAST_PRESSURE {
-            self.told.swap_remove(at);
+            self.remote.swap_remove(at);
             return;
         }
-        told.work = Work {
+        told.work = EndpointWork {
             pressure,
-            ..Work::default()
+            ..EndpointWork::default()
         };
         told.until = told.until + (now - told.at);
         told.at = now;
     }
 
     /// The endpoint told its load.
-    pub fn reported(&mut self, report: Report, now: Millis) {
+    pub fn record_report(&mut self, report: EndpointReport, now: Millis) {
         self.report = Some((now, report));
     }
 
     /// The endpoint turned a request away for want of room.
-    pub fn turned_away(&mut self, now: Millis) {
+    pub fn mark_full(&mut self, now: Millis) {
         self.full_until = now + FULL_WORD;
     }
 
     /// A run of this entry there ended, so there is room again.
-    pub fn made_room(&mut self) {
+    pub fn clear_full(&mut self) {
         self.full_until = Millis(0);
     }
 
@@ -240,8 +252,8 @@
     }
 
     /// This entry's own work there.
-    pub fn own(&self, now: Millis) -> Work {
-        Work {
+    pub fn own(&self, now: Millis) -> EndpointWork {
+        EndpointWork {
             pressure: self.pressure_now(now) as u32,
             ..self.own
         }
@@ -253,21 +265,21 @@
     }
 
     /// Work of all entries, as far as known.
-    pub fn total(&self, now: Millis) -> Work {
-        let fresh = self.told.iter().filter(|told| now < told.until);
+    pub fn total(&self, now: Millis) -> EndpointWork {
+        let fresh = self.remote.iter().filter(|told| now < told.until);
         fresh.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
 
     /// Work of this entry and of the peers that told theirs one by one.
-    pub fn of_cell(&self, now: Millis) -> Work {
-        let fresh = self.told.iter().filter(|told| now < told.until);
-        let peers = fresh.filter(|told| matches!(told.teller, Teller::Peer(_)));
+    pub fn zone_total(&self, now: Millis) -> EndpointWork {
+        let fresh = self.remote.iter().filter(|told| now < told.until);
+        let peers = fresh.filter(|told| matches!(told.teller, LoadSource::Peer(_)));
         peers.fold(self.own(now), |sum, told| sum.plus(told.work))
     }
 
     /// Requests that the endpoint works on or that wait there: as far as entries know, or by its own word where
     /// that is fresh and tells of more.
-    pub fn present(&self, now: Millis) -> u32 {
+    pub fn occupancy(&self, now: Millis) -> u32 {
         let told = match self.report {
             Some((at, report)) if now - at < REPORT_WORD => report.running + report.waiting,
             _ => 0,
--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::direct::load::{Work, BANDS};
+use crate::direct::load::{EndpointWork, BANDS};
 
 /// Prompt tokens per block, for `unread` and `pressure`.
 const UNREAD_BLOCK: u32 = 64;
@@ -26,25 +26,25 @@
 }
 
 impl CompactWork {
-    fn from_work(endpoint: u32, work: &Work) -> Self {
+    fn from_work(endpoint: u32, work: &EndpointWork) -> Self {
         Self {
             endpoint: endpoint.to_be_bytes(),
             running: work.running,
             unread: work.unread.map(|tokens| tokens.div_ceil(UNREAD_BLOCK)),
             held: work.held.div_ceil(HELD_BLOCK),
-            delicate: work.delicate.div_ceil(DELICATE_BLOCK),
+            delicate: work.pause_sensitivity.div_ceil(DELICATE_BLOCK),
             pressure: work.pressure.div_ceil(UNREAD_BLOCK),
         }
     }
 
-    fn to_work(&self) -> (u32, Work) {
-        let work = Work {
+    fn to_work(&self) -> (u32, EndpointWork) {
+        let work = EndpointWork {
             running: self.running,
             unread: self
                 .unread
                 .map(|compact| compact.saturating_mul(UNREAD_BLOCK)),
             held: self.held.saturating_mul(HELD_BLOCK),
-            delicate: self.delicate.saturating_mul(DELICATE_BLOCK),
+            pause_sensitivity: self.delicate.saturating_mul(DELICATE_BLOCK),
             pressure: self.pressure.saturating_mul(UNREAD_BLOCK),
         };
         (u32::from_be_bytes(self.endpoint), work)
@@ -53,7 +53,7 @@
 
 /// Serializes work at endpoints, by their digests.
 pub(super) fn serialize<S: Serializer>(
-    work: &[(u32, Work)],
+    work: &[(u32, EndpointWork)],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
     let compact = work
@@ -65,7 +65,7 @@
 /// Deserializes work at endpoints, by their digests.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
-) -> Result<Vec<(u32, Work)>, D::Error> {
+) -> Result<Vec<(u32, EndpointWork)>, D::Error> {
     let compact = Vec::<CompactWork>::deserialize(deserializer)?;
     Ok(compact.iter().map(CompactWork::to_work).collect())
 }
--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -9,7 +9,7 @@
 
 /// What this process knows, with its age.
 #[derive(Debug, Clone, Copy)]
-pub struct Knowledge<'a> {
+pub struct CatalogState<'a> {
     /// The configuration in force; `None` before the first one.
     pub catalog: Option<&'a Catalog>,
     /// When it was last proven to be the newest.
@@ -46,14 +46,14 @@
 /// A denial is only told when the configuration is fresh; otherwise it may be a newer one that
 /// allows the request.
 pub fn resolve(
-    knowledge: Knowledge<'_>,
+    knowledge: CatalogState<'_>,
     ask: &ParsedRequest,
     now: Millis,
 ) -> Result<Allowed, Denied> {
     let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
     let fresh = knowledge
         .max_key_proof_age
-        .is_none_or(|bound| knowledge.freshness.within(now, bound));
+        .is_none_or(|bound| knowledge.freshness.is_younger_than(now, bound));
     let Some(route) = catalog.route(&ask.host, &ask.path) else {
         return Err(when_fresh(fresh, Denied::NoRoute));
     };
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use violetline::clock::Millis;
-use violetline::direct::load::Work;
+use violetline::direct::load::EndpointWork;
 use violetline::direct::peers::{
     encode_within, GossipMessage, PeerId, PeerTable, PromptPlacement, WorkScope,
     MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES, MAX_ROUND_BYTES, ROUND_INTERVAL,
@@ -205,11 +205,11 @@
     work_scope: WorkScope,
     busy_endpoints: u32,
 ) -> GossipMessage {
-    let work = Work {
+    let work = EndpointWork {
         running: 2,
         unread: [0, 2_000, 7_000],
         held: 12_000,
-        delicate: 150,
+        pause_sensitivity: 150,
         pressure: 30_000,
     };
     let (endpoints, prompts) = match work_scope {
@@ -375,11 +375,11 @@
         .filter(|at| at.is_some())
         .count();
     assert_eq!(known, 40);
-    let (word, blind) = (
+    let (word, visibility_delay) = (
         fleet.entries[0].table.neighbor_report_ttl(),
-        fleet.entries[0].table.blind(fleet.now),
+        fleet.entries[0].table.visibility_delay(fleet.now),
     );
-    assert!(word >= Millis(1_500) && blind < word);
+    assert!(word >= Millis(1_500) && visibility_delay < word);
 }
 
 /// A report counts for longer than it takes until it is sent again, in fleets of several sizes.
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -8,10 +8,10 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
-use violetline::direct::health::{Fault, Grade, Record};
-use violetline::direct::load::{Footprint, Load, Report};
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::health::{Fault, Grade, HealthRecord};
+use violetline::direct::load::{EndpointLoad, EndpointReport, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -23,8 +23,8 @@
 /// Endpoints a, b, c with their loads and records.
 struct Pool {
     directory: Directory,
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -36,8 +36,8 @@
         }
         Self {
             directory,
-            loads: (0..3).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); 3],
+            loads: (0..3).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); 3],
             prefixes: PrefixMap::default(),
         }
     }
@@ -52,14 +52,14 @@
             endpoint: self.directory.get(self.key(i)).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &self.prefixes, NOW).unwrap()
     }
 }
 
-fn demand(parts: &[Part]) -> Demand<'_> {
+fn demand(parts: &[PromptSegment]) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -67,32 +67,32 @@
         target: Millis(1_200),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 6,
+        pause_sensitivity: 6,
         pause: Millis(250),
-        blind: Millis(0),
-        room: RoomFor::default(),
+        visibility_delay: Millis(0),
+        room: RoomInputs::default(),
         draw: 0,
     }
 }
 
-fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+fn part(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
-fn prompt() -> [Part; 3] {
+fn prompt() -> [PromptSegment; 3] {
     [part(1, 2_500), part(2, 3_800), part(3, 2_900)]
 }
 
-fn ids(parts: &[Part]) -> impl Iterator<Item = u64> + '_ {
+fn ids(parts: &[PromptSegment]) -> impl Iterator<Item = u64> + '_ {
     parts.iter().map(|part| part.id)
 }
 
-fn footprint(unread: u32, delicate: u32) -> Footprint {
+fn footprint(unread: u32, pause_sensitivity: u32) -> Footprint {
     Footprint {
         band: 2,
         unread,
         held: unread + 100,
-        delicate,
+        pause_sensitivity,
     }
 }
 
@@ -104,10 +104,10 @@
     for i in 0..3 {
         let key = pool.key(i);
         pool.prefixes.forget(key);
-        pool.prefixes.note(key, ids(&other), NOW, NOW);
+        pool.prefixes.record_use(key, ids(&other), NOW, NOW);
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.key, key);
-        assert_eq!(choice.supply.kept, 6_300);
+        assert_eq!(choice.reuse.cached, 6_300);
         assert_eq!(choice.footprint.unread, 2_900);
         pool.prefixes.forget(key);
     }
@@ -118,7 +118,7 @@
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(1);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     for _ in 0..12 {
         pool.loads[1].begin(footprint(9_000, 6), NOW);
     }
@@ -133,7 +133,7 @@
     let first = pool.choose(demand(&parts)).key;
     let other = (0..3).find(|i| pool.key(*i) != first).unwrap();
     let key = pool.key(other);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     pool.loads[other].begin(footprint(9_000, 6), NOW);
     assert_eq!(pool.choose(demand(&parts)).key, pool.key(other));
 }
@@ -157,7 +157,7 @@
     let short = [part(2, 500)];
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&short)
     };
     let place = |pool: &mut Pool, demand: Demand<'_>| {
@@ -189,7 +189,7 @@
     }
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&parts)
     };
     assert_ne!(pool.choose(urgent).key, pool.key(1));
@@ -199,7 +199,7 @@
 fn failing_avoided() {
     let mut pool = Pool::new();
     for i in [0, 1] {
-        pool.records[i].failed(NOW, Fault::Contact);
+        pool.records[i].failed(NOW, Fault::Unreachable);
     }
     let choice = pool.choose(demand(&[part(1, 500)]));
     assert_eq!((choice.key, choice.grade), (pool.key(2), Grade::Good));
@@ -209,7 +209,7 @@
 fn all_failing_used() {
     let mut pool = Pool::new();
     for record in &mut pool.records {
-        record.failed(NOW, Fault::Contact);
+        record.failed(NOW, Fault::Unreachable);
     }
     assert_eq!(pool.choose(demand(&[])).grade, Grade::Poor);
 }
@@ -226,7 +226,7 @@
     }
     let plain = Demand {
         engine: None,
-        delicate: 0,
+        pause_sensitivity: 0,
         ..demand(&[])
     };
     assert_eq!(pool.choose(plain).key, pool.key(2));
@@ -235,13 +235,13 @@
 #[test]
 fn endpoint_reports_waiting() {
     let mut pool = Pool::new();
-    let report = Report {
+    let report = EndpointReport {
         running: 6,
         waiting: 10,
         slots: 6,
     };
-    pool.loads[0].reported(report, NOW);
-    pool.loads[1].reported(report, NOW);
+    pool.loads[0].record_report(report, NOW);
+    pool.loads[1].record_report(report, NOW);
     assert_eq!(pool.choose(demand(&[])).key, pool.key(2));
 }
 
@@ -250,7 +250,7 @@
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(0);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     let held = Footprint {
         held: 280_000,
         ..footprint(0, 0)
@@ -263,7 +263,7 @@
 #[test]
 fn huge_prompts() {
     let mut pool = Pool::new();
-    let parts: Vec<Part> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
+    let parts: Vec<PromptSegment> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
     for _ in 0..3 {
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.footprint.unread, u32::MAX);
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -8,7 +8,7 @@
 use base64::Engine;
 use common::{entry, listed};
 use serde_json::{json, Value};
-use violetline::direct::dialect::{Dialect, StoreUpdate, Unreadable, WatchResult};
+use violetline::direct::dialect::{Dialect, StoreUpdate, UnreadableEntry, WatchResult};
 use violetline::direct::directory::Change;
 use violetline::platform::Platform;
 
@@ -121,7 +121,9 @@
         id: "a".into(),
         revision: 8,
     };
-    assert!(matches!(&changes[0], StoreUpdate::Unreadable(_, Some(change)) if *change == removed));
+    assert!(
+        matches!(&changes[0], StoreUpdate::UnreadableEntry(_, Some(change)) if *change == removed)
+    );
 }
 
 #[test]
@@ -130,7 +132,7 @@
     entry.apply_listing(vec![listed("a", 1)], 1);
     for n in 0..3_000 {
         for _ in 0..2 {
-            entry.report_unreadable(Unreadable {
+            entry.report_unreadable(UnreadableEntry {
                 key: format!("servers/{n}"),
                 why: "unknown state".into(),
             });
