--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -12,8 +12,8 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Listing, Revision};
-use crate::direct::load::Report;
-use crate::direct::prefix::Part;
+use crate::direct::load::EndpointReport;
+use crate::direct::prefix::PromptSegment;
 
 /// The properties of a caller's request that decisions depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Path without query.
     pub path: String,
     /// Parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     /// Expected length of the response, in tokens; the caller's own estimate where it gives one.
     pub output_tokens: u64,
     /// Number of the last event that the caller has received; set when it resumes a stream.
@@ -73,7 +73,7 @@
     /// success does not count.
     pub sealed: bool,
     /// Load that the endpoint reports.
-    pub report: Option<Report>,
+    pub report: Option<EndpointReport>,
     /// Idle time after which the endpoint closes a connection.
     pub idle_time: Option<Millis>,
     /// What the endpoint announces about accepting requests.
--- a/src/direct/entry/catalog_and_list.rs
+++ b/src/direct/entry/catalog_and_list.rs
@@ -14,7 +14,7 @@
 use crate::direct::directory::{Change, Directory, EndpointStatus, Listing, Revision};
 use crate::direct::freshness::Freshness;
 use crate::direct::patch::Patch;
-use crate::direct::resolve::{resolve, Allowed, Denied, Knowledge};
+use crate::direct::resolve::{resolve, Allowed, CatalogState, Denied};
 use crate::direct::versions::{self, EncodedPatch, VersionUpdate};
 
 /// Most keys of unreadable store entries that are remembered, so that each is logged once.
@@ -317,7 +317,7 @@
     pub fn allow(&self, ask: &ParsedRequest) -> Result<Allowed, Denied> {
         let catalog = self.catalog();
         let freshness = self.freshness();
-        let knowledge = Knowledge {
+        let knowledge = CatalogState {
             catalog: catalog.as_deref(),
             freshness: &freshness,
             max_key_proof_age: self.settings.borrow().bounds.max_key_proof_age(),
--- a/src/direct/entry/endpoint_states.rs
+++ b/src/direct/entry/endpoint_states.rs
@@ -12,9 +12,9 @@
 use crate::direct::decision::Decision;
 use crate::direct::directory::{Endpoint, EndpointKey, EndpointStatus};
 use crate::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
-use crate::direct::health::{Fault, Record};
-use crate::direct::load::{Footprint, Load};
-use crate::direct::turnover::Turnover;
+use crate::direct::health::{Fault, HealthRecord};
+use crate::direct::load::{EndpointLoad, Footprint};
+use crate::direct::turnover::PoolActivity;
 use crate::direct::warmup::{self, RecentSends, WarmUp};
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::IncarnationDigest;
@@ -38,9 +38,9 @@
     /// Digest of its identity and incarnation.
     incarnation: IncarnationDigest,
     /// Its load, from this entry's requests and from reports of peers and the endpoint.
-    pub load: Load,
+    pub load: EndpointLoad,
     /// Its health record.
-    pub record: Record,
+    pub record: HealthRecord,
     /// When anything last arrived from it.
     pub last_contact_at: Millis,
     /// Requests that this entry sent to it recently.
@@ -60,12 +60,12 @@
     /// Records that something arrived from the endpoint, so it is alive.
     pub fn record_contact(&mut self, now: Millis) {
         self.last_contact_at = now;
-        self.lost_runs.heard(now);
+        self.lost_runs.record_contact(now);
     }
 
     /// Records that the endpoint accepted a connection whose opening began at `begun`.
     pub(super) fn connected(&mut self, begun: Millis) {
-        self.lost_runs.connected(begun);
+        self.lost_runs.record_connection(begun);
     }
 
     /// Whether a check of whether the endpoint still listens is under way.
@@ -159,14 +159,14 @@
     /// out.
     pub(super) fn update_fleet_size(&self) {
         let mut fleet = self.fleet_size.get();
-        fleet.saw(self.peers.borrow().entries(self.clock.now()));
+        fleet.observe(self.peers.borrow().entries(self.clock.now()));
         self.fleet_size.set(fleet);
     }
 
     /// Records that an endpoint failed a request; logs it if the endpoint is set aside for that.
     pub fn endpoint_failed(&self, key: EndpointKey, fault: Fault, why: &str) {
         let now = self.clock.now();
-        if fault == Fault::Contact {
+        if fault == Fault::Unreachable {
             // It may have restarted since its list entry was written.
             self.directory.borrow_mut().assume_warm_up(key, now);
         }
@@ -183,9 +183,9 @@
     pub fn endpoint_served(&self, key: EndpointKey) {
         let mut taken_back = false;
         self.update_endpoint_state(key, |endpoint_state| {
-            let was_set_aside = endpoint_state.record.is_aside();
+            let was_set_aside = endpoint_state.record.is_ejected();
             endpoint_state.record.succeeded();
-            taken_back = was_set_aside && !endpoint_state.record.is_aside();
+            taken_back = was_set_aside && !endpoint_state.record.is_ejected();
         });
         if taken_back {
             self.log_health(key, false, "served a request");
@@ -193,7 +193,7 @@
     }
 
     /// Calls `look` with the recent activity of this entry in a pool.
-    pub fn turnover<T>(&self, pool: &str, look: impl FnOnce(&mut Turnover) -> T) -> T {
+    pub fn turnover<T>(&self, pool: &str, look: impl FnOnce(&mut PoolActivity) -> T) -> T {
         let mut turnovers = self.turnovers.borrow_mut();
         if let Some(turnover) = turnovers.get_mut(pool) {
             return look(turnover);
@@ -210,7 +210,7 @@
         request: Fingerprint,
     ) -> RunGuard {
         let now = self.clock.now();
-        self.turnover(pool, |turnover| turnover.begin(now));
+        self.turnover(pool, |turnover| turnover.record_start(now));
         self.update_endpoint_state(key, |endpoint_state| {
             endpoint_state.load.begin(footprint, now);
             endpoint_state.recent_sends.note(now);
@@ -235,7 +235,7 @@
         }
         let mut ended = None;
         self.update_endpoint_state(key, |endpoint_state| {
-            ended = endpoint_state.lost_runs.lost(run)
+            ended = endpoint_state.lost_runs.record_loss(run)
         });
         if let Some(sign) = ended {
             self.report_lost_runs(key, sign, &[run]);
@@ -262,7 +262,7 @@
         let now = self.clock.now();
         let mut lost = Vec::new();
         self.update_endpoint_state(key, |endpoint_state| {
-            lost = endpoint_state.lost_runs.ended(sign, now)
+            lost = endpoint_state.lost_runs.record_end(sign, now)
         });
         if !lost.is_empty() {
             self.report_lost_runs(key, sign, &lost);
@@ -396,7 +396,7 @@
     fn drop(&mut self) {
         self.read();
         let now = self.entry.clock.now();
-        self.entry.turnover(&self.pool, |t| t.end(now));
+        self.entry.turnover(&self.pool, |t| t.record_end(now));
         let footprint = self.footprint;
         self.entry
             .update_endpoint_state(self.key, |endpoint_state| {
@@ -404,7 +404,7 @@
             });
         if self.end.get() != RunEnd::Undecided {
             self.entry
-                .update_endpoint_state(self.key, |endpoint_state| endpoint_state.load.made_room());
+                .update_endpoint_state(self.key, |endpoint_state| endpoint_state.load.clear_full());
         }
         match self.end.get() {
             RunEnd::Answered => self.entry.record_run_finished(self.request),
--- a/src/direct/gossip.rs
+++ b/src/direct/gossip.rs
@@ -12,7 +12,7 @@
 use crate::direct::entry::{Entry, Fetch, ProcessState};
 use crate::direct::fetch;
 use crate::direct::limits::{self, Message};
-use crate::direct::load::{Load, Teller, Work};
+use crate::direct::load::{EndpointLoad, EndpointWork, LoadSource};
 use crate::direct::peers::{
     self, GossipMessage, GossipTarget, WorkScope, MAX_DATAGRAM_BYTES, MAX_REMOTE_BYTES,
     ROUND_INTERVAL,
@@ -262,24 +262,25 @@
 }
 
 /// The work to report in a message, by the digests of the endpoints.
-fn reported_work(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, Work)> {
-    let work_at = |load: &Load| match work_scope {
+fn reported_work(entry: &Entry, work_scope: WorkScope, now: Millis) -> Vec<(u32, EndpointWork)> {
+    let work_at = |load: &EndpointLoad| match work_scope {
         WorkScope::Sender => load.own(now),
-        WorkScope::Zone => load.of_cell(now),
-        WorkScope::Nothing => Work::default(),
+        WorkScope::Zone => load.zone_total(now),
+        WorkScope::Nothing => EndpointWork::default(),
     };
     let directory = entry.directory();
     let endpoint_states = entry.endpoint_states();
     let all = endpoint_states
         .iter()
         .map(|(key, endpoint_state)| (key, work_at(&endpoint_state.load)));
-    all.filter(|(_, work)| !work.is_at_rest())
+    all.filter(|(_, work)| !work.is_idle())
         .filter_map(|(key, work)| Some((directory.get(key)?.digest, work)))
         .collect()
 }
 
 /// Handles a gossip message: updates the peer, the proof, the work and the placements, and fetches
-/// a newer configuration or changes of the list. True if the peer is new or has restarted.
+/// a newer configuration or changes of the list. True if the peer is new, was silent for long, or
+/// has restarted.
 fn handle_message(entry: &Rc<Entry>, from: SocketAddr, message: &GossipMessage) -> bool {
     let now = entry.clock.now();
     let receipt = entry.peers.borrow_mut().record_message(from, message, now);
@@ -313,18 +314,18 @@
 fn apply_work(entry: &Entry, message: &GossipMessage, now: Millis) {
     let table = entry.peers.borrow();
     let (teller, ttl) = match (message.work_scope, message.zone) {
-        (WorkScope::Sender, _) => (Teller::Peer(message.from), table.neighbor_report_ttl()),
-        (WorkScope::Zone, Some(zone)) => (Teller::Zone(zone), table.zone_report_ttl(now)),
+        (WorkScope::Sender, _) => (LoadSource::Peer(message.from), table.neighbor_report_ttl()),
+        (WorkScope::Zone, Some(zone)) => (LoadSource::Zone(zone), table.zone_report_ttl(now)),
         (WorkScope::Zone, None) | (WorkScope::Nothing, _) => return,
     };
-    let reported: HashMap<u32, Work> = message.work.iter().copied().collect();
+    let reported: HashMap<u32, EndpointWork> = message.work.iter().copied().collect();
     let directory = entry.directory();
     let mut endpoint_states = entry.endpoint_states_mut();
     for (key, endpoint_state) in endpoint_states.iter_mut() {
         let digest = directory.get(key).map(|endpoint| endpoint.digest);
         match digest.and_then(|digest| reported.get(&digest)) {
-            Some(work) => endpoint_state.load.told(teller, *work, ttl, now),
-            None => endpoint_state.load.told_at_rest(teller, now),
+            Some(work) => endpoint_state.load.record_remote(teller, *work, ttl, now),
+            None => endpoint_state.load.record_remote_idle(teller, now),
         }
     }
 }
@@ -336,7 +337,7 @@
     let mut zone_placements = entry.zone_placements.borrow_mut();
     for placement in &message.placements {
         if let Some(key) = directory.by_digest(placement.endpoint) {
-            prefixes.note(key, std::iter::once(placement.segment_id), now, now);
+            prefixes.record_use(key, std::iter::once(placement.segment_id), now, now);
         }
         if message.work_scope == WorkScope::Sender {
             zone_placements.add_if_new(*placement, now);
--- a/src/direct/job/choice.rs
+++ b/src/direct/job/choice.rs
@@ -2,7 +2,7 @@
 
 use super::Job;
 use crate::clock::Millis;
-use crate::direct::admission::{Outlook, PlainOutlook};
+use crate::direct::admission::{EngineAdmission, PlainAdmission};
 use crate::direct::choose::{self, Choice};
 use crate::direct::decision::RefusalReason;
 use crate::direct::demand::{Candidate, Demand};
@@ -48,7 +48,7 @@
                     endpoint,
                     load: &endpoint_state.load,
                     record: &endpoint_state.record,
-                    warming: endpoint.warm_until(warming_time) > now,
+                    is_warming: endpoint.warm_until(warming_time) > now,
                     is_limited: self.entry.limit(key).is_some(),
                 })
             });
@@ -60,7 +60,7 @@
     pub(super) fn admission_refusal(&self, choice: &Choice) -> Option<RefusalReason> {
         let is_plain = self.catalog.pool(&self.pool)?.engine.is_none();
         if !is_plain && self.must_leave_room(choice) {
-            let sent_percent = (choice.sent_part.min(1.0) * 100.0) as u32;
+            let sent_percent = (choice.admitted_fraction.min(1.0) * 100.0) as u32;
             return Some(RefusalReason::RoomKept { sent_percent });
         }
         let is_admitted = match is_plain {
@@ -74,21 +74,21 @@
         })
     }
 
-    fn outlook(&self, choice: &Choice) -> Outlook {
+    fn outlook(&self, choice: &Choice) -> EngineAdmission {
         let band = self.band();
-        Outlook {
+        EngineAdmission {
             band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: self.catalog.shortest_target(&self.pool),
-            left: self.deadline - self.entry.clock.now(),
-            less_urgent: self.catalog.longest_less_urgent_timeout(&self.pool, band),
+            shortest_target: self.catalog.shortest_target(&self.pool),
+            time_left: self.deadline - self.entry.clock.now(),
+            longest_less_urgent_time: self.catalog.longest_less_urgent_timeout(&self.pool, band),
             has_more_urgent: self.has_more_urgent(self.entry.clock.now()),
         }
     }
 
-    fn plain_outlook(&self, choice: &Choice) -> PlainOutlook {
-        PlainOutlook {
+    fn plain_outlook(&self, choice: &Choice) -> PlainAdmission {
+        PlainAdmission {
             expected_ms: choice.expected_ms,
             is_full: choice.is_full,
             target: self.route().target,
@@ -135,9 +135,9 @@
             target: self.route().target,
             zone,
             engine,
-            delicate: self.catalog.pause_sensitivity(self.route(), &self.pool),
+            pause_sensitivity: self.catalog.pause_sensitivity(self.route(), &self.pool),
             pause: self.catalog.shortest_pause(&self.pool),
-            blind: self.entry.peers.borrow().blind(now),
+            visibility_delay: self.entry.peers.borrow().visibility_delay(now),
             room: self.room(now),
             draw: rand::random(),
         }
--- a/src/direct/job/end.rs
+++ b/src/direct/job/end.rs
@@ -142,7 +142,7 @@
         let is_free = |key: EndpointKey, slots: u32| {
             let endpoint_state = endpoint_states.get(key);
             let has_room = endpoint_state
-                .is_some_and(|endpoint_state| endpoint_state.load.present(now) < slots);
+                .is_some_and(|endpoint_state| endpoint_state.load.occupancy(now) < slots);
             has_room && self.entry.limit(key).is_none()
         };
         let open = directory.available_in_pool(&self.pool, now);
--- a/src/direct/job/mod.rs
+++ b/src/direct/job/mod.rs
@@ -272,7 +272,7 @@
         let allowance = self.entry.settings.borrow().bounds.retry_budget();
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
-        window.first(now, allowance);
+        window.record_request(now, allowance);
     }
 
     /// Whether the request may be sent to another endpoint; if so, counts it against the retry
@@ -288,7 +288,7 @@
         let entries = self.entry.peers.borrow().entries(now);
         let mut retries = self.entry.retries.borrow_mut();
         let window = retries.entry(self.pool.clone()).or_default();
-        window.take(now, allowance, entries, self.has_more_urgent(now))
+        window.try_take(now, allowance, entries, self.has_more_urgent(now))
     }
 }
 
--- a/src/direct/prefix.rs
+++ b/src/direct/prefix.rs
@@ -14,7 +14,7 @@
 
 /// One part of a prompt; equal ids have equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct PromptSegment {
     /// Identity.
     pub id: u64,
     /// Length in tokens.
@@ -33,11 +33,11 @@
 
 /// Tokens at the head of a prompt that an endpoint keeps.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct CachedPrefix {
     /// Those that were sent there: it has read them, or will have before it reads what comes after.
     pub sent: u64,
     /// Those that it has read.
-    pub read: u64,
+    pub prefilled: u64,
 }
 
 /// The estimate for all endpoints.
@@ -51,14 +51,14 @@
 impl PrefixMap {
     /// Tokens at the head of a prompt that need not be read at an endpoint which keeps unused parts
     /// since `kept_since`.
-    pub fn kept(
+    pub fn cached(
         &self,
         endpoint: EndpointKey,
-        parts: &[Part],
+        parts: &[PromptSegment],
         kept_since: Millis,
         now: Millis,
-    ) -> Kept {
-        let mut kept = Kept::default();
+    ) -> CachedPrefix {
+        let mut cached = CachedPrefix::default();
         let mut tokens = 0;
         // A part is only kept together with all before it, so the deepest one tells.
         for part in parts {
@@ -67,13 +67,13 @@
                 continue;
             };
             if last.at >= kept_since {
-                kept.sent = tokens;
+                cached.sent = tokens;
                 if last.read_at <= now {
-                    kept.read = tokens;
+                    cached.prefilled = tokens;
                 }
             }
         }
-        kept
+        cached
     }
 
     fn last_use(&self, endpoint: EndpointKey, part: u64) -> Option<&Use> {
@@ -82,7 +82,12 @@
     }
 
     /// An endpoint has read the parts that were sent to it.
-    pub fn read(&mut self, endpoint: EndpointKey, parts: impl Iterator<Item = u64>, now: Millis) {
+    pub fn record_prefill(
+        &mut self,
+        endpoint: EndpointKey,
+        parts: impl Iterator<Item = u64>,
+        now: Millis,
+    ) {
         for part in parts {
             let Some(uses) = self.uses.get_mut(&part) else {
                 continue;
@@ -95,7 +100,7 @@
 
     /// A prompt with these parts was sent to an endpoint, by this entry or a peer, which will have
     /// read them at `read_at`.
-    pub fn note(
+    pub fn record_use(
         &mut self,
         endpoint: EndpointKey,
         parts: impl Iterator<Item = u64>,
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -6,13 +6,13 @@
 use violetline::clock::Millis;
 use violetline::direct::catalog::EngineCapacity;
 use violetline::direct::choose::choose;
-use violetline::direct::demand::{Candidate, Demand, Seen};
+use violetline::direct::demand::{Candidate, CandidateState, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
-use violetline::direct::health::{Fault, Record};
-use violetline::direct::lanes::Lanes;
-use violetline::direct::load::{Footprint, Load};
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::health::{Fault, HealthRecord};
+use violetline::direct::lanes::StreamPartition;
+use violetline::direct::load::{EndpointLoad, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -27,8 +27,8 @@
 struct Pool {
     directory: Directory,
     keys: Vec<EndpointKey>,
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
 }
 
 impl Pool {
@@ -45,8 +45,8 @@
         Self {
             keys: (0..count).map(key).collect(),
             directory,
-            loads: (0..count).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); count],
+            loads: (0..count).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); count],
         }
     }
 
@@ -56,7 +56,7 @@
             endpoint: self.directory.get(self.keys[i]).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         };
         (0..self.keys.len()).map(candidate).collect()
@@ -64,9 +64,9 @@
 
     /// Positions of the endpoints that are kept for delicate streams.
     fn kept(&self) -> Vec<usize> {
-        let all: Vec<Seen<'_>> = self.candidates().into_iter().map(see).collect();
-        let lanes = Lanes::part(&all, READS);
-        let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
+        let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
+        let lanes = StreamPartition::compute(&all, READS);
+        let is_kept = |i: &usize| lanes.is_reserved(self.keys[*i]);
         (0..self.keys.len()).filter(is_kept).collect()
     }
 
@@ -83,19 +83,19 @@
     }
 }
 
-fn see(candidate: Candidate<'_>) -> Seen<'_> {
-    Seen {
+fn see(candidate: Candidate<'_>) -> CandidateState<'_> {
+    CandidateState {
         total: candidate.load.total(NOW),
-        known: 0,
-        ready: 0,
-        is_kept: false,
-        first_read: None,
+        cached_tokens: 0,
+        transferable_tokens: 0,
+        is_reserved: false,
+        uncached_home_tokens: None,
         candidate,
     }
 }
 
 /// A stream with the tightest pauses, at an entry that does not see others' choices yet.
-fn urgent(parts: &[Part], draw: u64) -> Demand<'_> {
+fn urgent(parts: &[PromptSegment], draw: u64) -> Demand<'_> {
     Demand {
         band: 0,
         parts,
@@ -103,10 +103,10 @@
         target: Millis(300),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 100,
+        pause_sensitivity: 100,
         pause: Millis(250),
-        blind: Millis(300),
-        room: RoomFor::default(),
+        visibility_delay: Millis(300),
+        room: RoomInputs::default(),
         draw,
     }
 }
@@ -116,7 +116,7 @@
         band: 0,
         unread: 500,
         held: 800,
-        delicate: 100,
+        pause_sensitivity: 100,
     }
 }
 
@@ -125,7 +125,7 @@
         band: 2,
         unread: 9_000,
         held: 9_100,
-        delicate: 0,
+        pause_sensitivity: 0,
     }
 }
 
@@ -189,7 +189,7 @@
     for _ in 0..2 {
         let kept = pool.kept();
         assert_eq!(kept.len(), 1);
-        pool.records[kept[0]].failed(NOW, Fault::Contact);
+        pool.records[kept[0]].failed(NOW, Fault::Unreachable);
         assert_ne!(pool.kept(), kept);
     }
     assert!(Pool::new(1).kept().is_empty());
@@ -204,14 +204,17 @@
             pool.begin(i, long_prompt());
         }
     }
-    let parts = [Part { id: 1, tokens: 500 }];
+    let parts = [PromptSegment { id: 1, tokens: 500 }];
     for draw in 0..400 {
         let i = pool.choose(urgent(&parts, draw));
         pool.begin(i, stream());
-        let running = pool.loads[i].total(NOW).delicate / 100;
+        let running = pool.loads[i].total(NOW).pause_sensitivity / 100;
         assert!(running < 64, "{running} streams at one endpoint");
     }
-    let all_take = pool.loads.iter().all(|load| load.total(NOW).delicate > 0);
+    let all_take = pool
+        .loads
+        .iter()
+        .all(|load| load.total(NOW).pause_sensitivity > 0);
     assert!(all_take, "some endpoint takes none");
 }
 
@@ -219,7 +222,7 @@
 #[test]
 fn unseen_choices_part() {
     let pool = Pool::new(12);
-    let parts = [Part {
+    let parts = [PromptSegment {
         id: 1,
         tokens: 9_000,
     }];
@@ -228,7 +231,7 @@
         let demand = Demand {
             band: 2,
             output_tokens: 50,
-            delicate: 6,
+            pause_sensitivity: 6,
             ..urgent(&parts, draw)
         };
         chosen[pool.choose(demand)] += 1;
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -7,14 +7,14 @@
 use violetline::direct::directory::{digest, Change, Directory, EndpointKey, ListedEndpoint};
 use violetline::direct::health::Fault;
 use violetline::direct::load::Footprint;
-use violetline::direct::prefix::Part;
+use violetline::direct::prefix::PromptSegment;
 use violetline::fingerprint::Fingerprint;
 
 const FOOTPRINT: Footprint = Footprint {
     band: 0,
     unread: 1_000,
     held: 1_000,
-    delicate: 0,
+    pause_sensitivity: 0,
 };
 
 fn life(id: &str, born: u64, revision: u64) -> ListedEndpoint {
@@ -92,19 +92,28 @@
     entry.apply_listing(vec![life("a", 100, 1)], 1);
     let before = key(&entry.directory());
     let placed = entry.begin_run(before, "pool", FOOTPRINT, Fingerprint(1));
-    entry.endpoint_failed(before, Fault::Contact, "test");
+    entry.endpoint_failed(before, Fault::Unreachable, "test");
     let now = clock.now();
-    let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
+    let parts = [
+        PromptSegment { id: 1, tokens: 500 },
+        PromptSegment { id: 2, tokens: 9 },
+    ];
     let ids = parts.iter().map(|part| part.id);
-    entry.prefixes.borrow_mut().note(before, ids, now, now);
+    entry
+        .prefixes
+        .borrow_mut()
+        .record_use(before, ids, now, now);
     entry.apply_changes(vec![Change::Put(life("a", 200, 2))], 2);
     let after = key(&entry.directory());
     let endpoint_states = entry.endpoint_states();
     let endpoint_state = endpoint_states.get(after).unwrap();
     assert_eq!(endpoint_state.load.own(now).running, 0);
-    assert!(!endpoint_state.record.is_aside());
-    let kept = entry.prefixes.borrow().kept(after, &parts, Millis(0), now);
-    assert_eq!(kept.sent, 0);
+    assert!(!endpoint_state.record.is_ejected());
+    let cached = entry
+        .prefixes
+        .borrow()
+        .cached(after, &parts, Millis(0), now);
+    assert_eq!(cached.sent, 0);
     assert!(endpoint_states.get(before).is_none());
     drop(endpoint_states);
     // The end of what ran in the earlier life changes nothing in the new one.
