--- a/src/direct/entry/mod.rs
+++ b/src/direct/entry/mod.rs
@@ -27,12 +27,12 @@
 use crate::direct::dialect::Dialect;
 use crate::direct::directory::{Directory, Revision};
 use crate::direct::freshness::Freshness;
-use crate::direct::gauge::Gauges;
+use crate::direct::gauge::EntryMetrics;
 use crate::direct::limits::Limits;
 use crate::direct::peers::{PeerId, PeerTable, RecentPlacements};
 use crate::direct::prefix::PrefixMap;
 use crate::direct::settings::DirectSettings;
-use crate::direct::turnover::Turnover;
+use crate::direct::turnover::PoolActivity;
 use crate::direct::versions::VersionLog;
 use crate::direct::warmup::FleetSize;
 use crate::quarantine::Quarantine;
@@ -72,7 +72,7 @@
     /// The log of decisions and state changes.
     pub log: DecisionLog,
     /// Metrics.
-    pub metrics: Gauges,
+    pub metrics: EntryMetrics,
     /// The other entries, as far as known.
     pub peers: RefCell<PeerTable>,
     /// Which prompt prefixes endpoints are thought to have in their caches.
@@ -91,7 +91,7 @@
     /// Socket for datagrams to peers; set once the process listens.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Requests that began and ended recently, by pool.
-    turnovers: RefCell<HashMap<String, Turnover>>,
+    turnovers: RefCell<HashMap<String, PoolActivity>>,
     /// Retry budgets, by pool.
     pub retries: RefCell<HashMap<String, RetryWindow>>,
     /// Requests that are suspected of ending endpoints.
@@ -162,7 +162,7 @@
             dialect,
             id: PeerId(rand::random()),
             log,
-            metrics: Gauges::new(),
+            metrics: EntryMetrics::new(),
             peers: RefCell::new(peers),
             prefixes: RefCell::default(),
             placements: RefCell::default(),
@@ -220,7 +220,7 @@
     /// with a key.
     pub fn is_ready(&self) -> bool {
         let bound = self.settings.borrow().bounds.max_key_proof_age();
-        let fresh = bound.is_none_or(|b| self.freshness.get().within(self.clock.now(), b));
+        let fresh = bound.is_none_or(|b| self.freshness.get().is_younger_than(self.clock.now(), b));
         self.process_state() == ProcessState::Serving
             && self.has_list.get()
             && self.version() > 0
--- a/src/direct/job/answer.rs
+++ b/src/direct/job/answer.rs
@@ -81,7 +81,7 @@
         self.entry.update_endpoint_state(key, |endpoint_state| {
             endpoint_state.record_contact(now);
             if let Some(report) = response_info.report {
-                endpoint_state.load.reported(report, now);
+                endpoint_state.load.record_report(report, now);
             }
         });
     }
@@ -91,7 +91,7 @@
         let why = "another endpoint has its address";
         self.attempts -= 1;
         self.entry.endpoint_ended(key, EndSign::Replaced);
-        self.entry.endpoint_failed(key, Fault::Contact, why);
+        self.entry.endpoint_failed(key, Fault::Unreachable, why);
         self.log_failed(key, why, false);
         AttemptOutcome::NotRun(key)
     }
@@ -126,7 +126,7 @@
         if response_info.announcement.rest.is_none() {
             let now = self.entry.clock.now();
             self.entry
-                .update_endpoint_state(key, |endpoint_state| endpoint_state.load.turned_away(now));
+                .update_endpoint_state(key, |endpoint_state| endpoint_state.load.mark_full(now));
             self.record_endpoint_refusal();
             if !self.is_busy(key) {
                 let why = "refuses although it has room";
@@ -268,13 +268,16 @@
         let now = self.entry.clock.now();
         run_guard.read();
         let ids = self.ask.parts.iter().map(|part| part.id);
-        self.entry.prefixes.borrow_mut().read(choice.key, ids, now);
+        self.entry
+            .prefixes
+            .borrow_mut()
+            .record_prefill(choice.key, ids, now);
         self.entry
             .update_endpoint_state(choice.key, |endpoint_state| {
                 endpoint_state.record_contact(now);
                 endpoint_state
                     .record
-                    .began(now, now - sent_at, choice.usual_ms);
+                    .observe_response_time(now, now - sent_at, choice.nominal_ms);
             });
         let mut progress = self.progress.borrow_mut();
         if progress.first_byte_at.is_none() {
--- a/src/direct/job/log.rs
+++ b/src/direct/job/log.rs
@@ -31,8 +31,8 @@
             attempt: self.attempts,
             priority: load::urgency_at_endpoint(self.route().priority, self.priority()),
             expected_ms: choice.expected_ms as u64,
-            cached: choice.supply.kept,
-            moved: choice.supply.moved,
+            cached: choice.reuse.cached,
+            moved: choice.reuse.moved,
             moved_from: self.source_endpoint_id(choice),
             unread: choice.footprint.unread,
             running,
@@ -52,7 +52,7 @@
     /// Id of the endpoint from which parts of the prompt are fetched.
     fn source_endpoint_id(&self, choice: &Choice) -> Option<String> {
         let directory = self.entry.directory();
-        let source = directory.get(choice.supply.from?)?;
+        let source = directory.get(choice.reuse.from?)?;
         Some(source.listed.id.clone())
     }
 
--- a/src/direct/job/send.rs
+++ b/src/direct/job/send.rs
@@ -44,7 +44,7 @@
         }
         let Some(connection) = self.open_connection(key).await else {
             self.entry
-                .endpoint_failed(key, Fault::Contact, "no connection");
+                .endpoint_failed(key, Fault::Unreachable, "no connection");
             return AttemptOutcome::NotSent(key);
         };
         // No await between here and the first byte sent, so that these checks still hold then.
@@ -179,7 +179,7 @@
             .filter(|key| directory.accepts_requests(*key, now));
         let copy = copy.and_then(|key| directory.get(key));
         let copy = copy.map(|e| e.listed.address);
-        let fetch_from = choice.supply.from.and_then(|key| directory.get(key));
+        let fetch_from = choice.reuse.from.and_then(|key| directory.get(key));
         let fetch_from = fetch_from.map(|e| e.listed.address);
         let team = self.allowed.team.map(|team| &self.catalog.teams[team.0]);
         let endpoint_request = EndpointRequest {
@@ -209,7 +209,7 @@
         let mut prefixes = self.entry.prefixes.borrow_mut();
         let read_at = now + Millis(choice.expected_ms as u64);
         let ids = parts.iter().map(|part| part.id);
-        prefixes.note(choice.key, ids, now, read_at);
+        prefixes.record_use(choice.key, ids, now, read_at);
         let shared = parts.len().checked_sub(2).map(|last| parts[last].id);
         let directory = self.entry.directory();
         let endpoint = directory.get(choice.key).map(|e| e.digest);
@@ -243,7 +243,8 @@
             return Ok(reply);
         }
         if !self.was_heard_since(key, sent_at) && silent_at < answer_deadline {
-            self.entry.endpoint_failed(key, Fault::Contact, "silent");
+            self.entry
+                .endpoint_failed(key, Fault::Unreachable, "silent");
             if self.may_repeat() && self.has_attempts_left() {
                 self.log_failed(key, "silent", true);
                 return Err(AttemptOutcome::Lost(key));
--- a/src/direct/room.rs
+++ b/src/direct/room.rs
@@ -6,8 +6,8 @@
 //! its own requests left and takes its part of the rest, and they spread over all endpoints.
 
 use crate::clock::Millis;
-use crate::direct::demand::Seen;
-use crate::direct::turnover::Recent;
+use crate::direct::demand::CandidateState;
+use crate::direct::turnover::RecentActivity;
 
 /// Part of an endpoint's slots that less urgent requests leave free for each band above theirs.
 const LEFT_FREE: f64 = 0.125;
@@ -28,19 +28,19 @@
 
 /// For whom there is to be room, and who shares it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RoomFor {
+pub struct RoomInputs {
     /// More urgent bands, for each of which slots are left free.
-    pub more_urgent: usize,
+    pub more_urgent_bands: usize,
     /// Entries that send to the pool, this one included.
     pub entries: usize,
     /// What this entry did in the time for which others' choices stay unseen.
-    pub recent: Recent,
+    pub recent: RecentActivity,
 }
 
 /// Room at the endpoints of a pool for one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolRoom {
-    more_urgent: usize,
+    more_urgent_bands: usize,
     /// Part of the slots that is left free.
     left_part: f64,
     /// Requests that other entries began at each endpoint unseen.
@@ -48,45 +48,50 @@
     /// Slots that the request may take at an endpoint, in the mean.
     free: f64,
     /// Part of the less urgent requests that come which may be sent; 1 or more where all may.
-    pub sent_part: f64,
+    pub admitted_fraction: f64,
 }
 
-impl RoomFor {
+impl RoomInputs {
     /// Room at all endpoints of a pool.
-    pub fn in_pool(&self, all: &[Seen<'_>], now: Millis) -> PoolRoom {
+    pub fn pool_room(&self, all: &[CandidateState<'_>], now: Millis) -> PoolRoom {
         let entries = self.entries.max(1);
         let others = (entries - 1) as f64 / all.len().max(1) as f64;
-        let turned_away = self.recent.turned_away_part * TURNED_AWAY;
+        let turned_away = self.recent.rejected_fraction * TURNED_AWAY;
         let mut room = PoolRoom {
-            more_urgent: self.more_urgent,
-            left_part: (LEFT_FREE * self.more_urgent as f64 + turned_away).min(MOST_LEFT_FREE),
-            unseen: self.recent.begun as f64 * others,
+            more_urgent_bands: self.more_urgent_bands,
+            left_part: (LEFT_FREE * self.more_urgent_bands as f64 + turned_away)
+                .min(MOST_LEFT_FREE),
+            unseen: self.recent.started as f64 * others,
             free: 0.0,
-            sent_part: 1.0,
+            admitted_fraction: 1.0,
         };
-        let free: f64 = all.iter().map(|seen| room.free_at(seen).max(0.0)).sum();
+        let free: f64 = all
+            .iter()
+            .map(|state| room.free_slots(state).max(0.0))
+            .sum();
         room.free = free / all.len().max(1) as f64;
         let own = free * self.share(all, now) * CLUMPS + self.recent.ended as f64;
         // What comes of more urgent bands goes first, or a middle one would be turned away where the least urgent is sent.
-        let left = (own - self.recent.ahead as f64).max(0.0);
-        room.sent_part = left / self.recent.offered.max(1) as f64 * self.held_back();
+        let left = (own - self.recent.more_urgent_arrivals as f64).max(0.0);
+        room.admitted_fraction =
+            left / self.recent.yielding_arrivals.max(1) as f64 * self.held_back();
         room
     }
 
     /// Part of what there is room for that is sent while more urgent requests get nothing.
     fn held_back(&self) -> f64 {
-        let beyond = self.recent.nothing_part / NOTHING_PART - 1.0;
+        let beyond = self.recent.refused_fraction / NOTHING_PART - 1.0;
         1.0 - beyond.clamp(0.0, 1.0)
     }
 
     /// This entry's share of what all entries have together: half by their number, half by the requests that it has at the
     /// endpoints, since some have more callers.
-    fn share(&self, all: &[Seen<'_>], now: Millis) -> f64 {
+    fn share(&self, all: &[CandidateState<'_>], now: Millis) -> f64 {
         let alike = 1.0 / self.entries.max(1) as f64;
-        let running: u32 = all.iter().map(|seen| seen.total.running).sum();
+        let running: u32 = all.iter().map(|state| state.total.running).sum();
         let own: u32 = all
             .iter()
-            .map(|seen| seen.candidate.load.own(now).running)
+            .map(|state| state.candidate.load.own(now).running)
             .sum();
         match running {
             0 => alike,
@@ -97,25 +102,25 @@
 
 impl PoolRoom {
     /// Slots of an endpoint that the request may take, as far as known; 0 or less where there are none.
-    pub fn free_at(&self, seen: &Seen<'_>) -> f64 {
-        let slots = f64::from(seen.candidate.endpoint.listed.slots.max(1));
-        let left_free = match self.more_urgent {
+    pub fn free_slots(&self, state: &CandidateState<'_>) -> f64 {
+        let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
+        let left_free = match self.more_urgent_bands {
             0 => 0.0,
             // What others began unseen varies by its square root.
             _ => (slots * self.left_part).ceil() + self.unseen.sqrt() * DEVIATIONS,
         };
-        slots - left_free - f64::from(seen.total.running)
+        slots - left_free - f64::from(state.total.running)
     }
 
     /// Whether requests come about as fast as slots become free: entries that go where most are free would meet there.
-    pub fn is_crowded(&self) -> bool {
-        self.sent_part < 1.0 || self.free < self.unseen * CROWDED
+    pub fn is_contended(&self) -> bool {
+        self.admitted_fraction < 1.0 || self.free < self.unseen * CROWDED
     }
 
     /// Rank of an endpoint with free slots in a draw that takes each as often as it has slots; the least wins. `draw` is from 0 to
     /// 1, another one for each request and endpoint.
-    pub fn lot(&self, seen: &Seen<'_>, draw: f64) -> f64 {
-        let free = self.free_at(seen).max(f64::MIN_POSITIVE);
+    pub fn lot(&self, state: &CandidateState<'_>, draw: f64) -> f64 {
+        let free = self.free_slots(state).max(f64::MIN_POSITIVE);
         -draw.max(f64::MIN_POSITIVE).ln() / free
     }
 }
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -11,11 +11,11 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::{Fault, Record};
-use violetline::direct::load::{Footprint, Load, Teller};
+use violetline::direct::health::{Fault, HealthRecord};
+use violetline::direct::load::{EndpointLoad, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -28,8 +28,8 @@
 struct Entry {
     directory: Directory,
     keys: Vec<EndpointKey>,
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -43,8 +43,8 @@
         Self {
             keys: ids.iter().filter_map(|id| directory.key(id)).collect(),
             directory,
-            loads: (0..endpoints).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); endpoints],
+            loads: (0..endpoints).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); endpoints],
             prefixes: PrefixMap::default(),
         }
     }
@@ -56,21 +56,21 @@
             endpoint: self.directory.get(*key).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         let choice = choose(demand, candidates, &self.prefixes, now).unwrap();
         let i = self.keys.iter().position(|key| *key == choice.key).unwrap();
         self.loads[i].begin(choice.footprint, now);
         let ids = demand.parts.iter().map(|part| part.id);
-        self.prefixes.note(choice.key, ids, now, now);
+        self.prefixes.record_use(choice.key, ids, now, now);
         (i, choice)
     }
 }
 
 /// A long prompt of a session: two shared parts, and one of its own.
-fn prompt(session: u64, request: u64) -> [Part; 3] {
-    let part = |id, tokens| Part { id, tokens };
+fn prompt(session: u64, request: u64) -> [PromptSegment; 3] {
+    let part = |id, tokens| PromptSegment { id, tokens };
     [
         part(1 + session % 4, 2_500),
         part(1_000 + session, 3_800),
@@ -78,7 +78,7 @@
     ]
 }
 
-fn coarse(parts: &[Part], draw: u64, blind: Millis) -> Demand<'_> {
+fn coarse(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -86,21 +86,21 @@
         target: Millis(1_500),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 7,
+        pause_sensitivity: 7,
         pause: Millis(400),
-        blind,
-        room: RoomFor::default(),
+        visibility_delay,
+        room: RoomInputs::default(),
         draw,
     }
 }
 
-fn urgent(parts: &[Part], draw: u64, blind: Millis) -> Demand<'_> {
+fn urgent(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 0,
         output_tokens: 280,
         target: Millis(400),
-        delicate: 100,
-        ..coarse(parts, draw, blind)
+        pause_sensitivity: 100,
+        ..coarse(parts, draw, visibility_delay)
     }
 }
 
@@ -127,7 +127,7 @@
     let home = Entry::new(12).place(coarse(&parts, 1, Millis(0)), NOW).0;
     let place = |draw| {
         let mut entry = Entry::new(12);
-        entry.records[home].failed(NOW, Fault::Contact);
+        entry.records[home].failed(NOW, Fault::Unreachable);
         entry.place(coarse(&parts, draw, Millis(0)), NOW).0
     };
     assert_ne!(place(1), home);
@@ -144,7 +144,7 @@
         band: 0,
         unread: 160_000,
         held: 100_000,
-        delicate: 0,
+        pause_sensitivity: 0,
     };
     entry.loads[home].begin(queued, NOW);
     assert_ne!(entry.place(coarse(&parts, 1, Millis(0)), NOW).0, home);
@@ -183,7 +183,7 @@
 #[test]
 fn blind_burst() {
     let (endpoints, streams) = (30, 900);
-    let blind = Millis(450);
+    let visibility_delay = Millis(450);
     let mut entries: Vec<Entry> = (0..20).map(|_| Entry::new(endpoints)).collect();
     for entry in &mut entries {
         for i in 3..endpoints {
@@ -191,7 +191,7 @@
                 band: 2,
                 unread: 3_000,
                 held: 9_000,
-                delicate: 7,
+                pause_sensitivity: 7,
             };
             entry.loads[i].begin(reading, NOW);
             entry.loads[i].read(reading);
@@ -202,17 +202,17 @@
     for n in 0..streams {
         let now = NOW + Millis(n * 3);
         let parts = [
-            Part {
+            PromptSegment {
                 id: 90_000 + n % 400,
                 tokens: 170,
             },
-            Part {
+            PromptSegment {
                 id: 95_000 + n,
                 tokens: 540,
             },
         ];
         let entry = &mut entries[(n * 7 % 20) as usize];
-        let (i, _) = entry.place(urgent(&parts, n, blind), now);
+        let (i, _) = entry.place(urgent(&parts, n, visibility_delay), now);
         streams_at[i] += 1;
         if n % 150 == 149 {
             tell_all(&mut entries, now);
@@ -231,11 +231,11 @@
             .iter()
             .map(|load| load.own(now))
             .collect();
-        let teller = Teller::Peer(PeerId(from as u64));
+        let teller = LoadSource::Peer(PeerId(from as u64));
         for (to, entry) in entries.iter_mut().enumerate() {
             if to != from {
                 for (load, work) in entry.loads.iter_mut().zip(&own) {
-                    load.told(teller, *work, Millis(60_000), now);
+                    load.record_remote(teller, *work, Millis(60_000), now);
                 }
             }
         }
--- a/tests/overload_replay.rs
+++ b/tests/overload_replay.rs
@@ -9,16 +9,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::admission::Outlook;
+use violetline::direct::admission::EngineAdmission;
 use violetline::direct::catalog::{EngineCapacity, TransferSpec};
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::Record;
-use violetline::direct::load::{Footprint, Load, Teller};
+use violetline::direct::health::HealthRecord;
+use violetline::direct::load::{EndpointLoad, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const STEP: Millis = Millis(5);
 const ENGINES: usize = 8;
@@ -50,7 +50,7 @@
     runs: u64,
     target: u64,
     patience: u64,
-    delicate: u32,
+    pause_sensitivity: u32,
     worth: f64,
     late: f64,
 }
@@ -65,7 +65,7 @@
         runs: 300,
         target: 1_500,
         patience: 4_000,
-        delicate: 7,
+        pause_sensitivity: 7,
         worth: 1.4,
         late: 0.41,
     },
@@ -78,7 +78,7 @@
         runs: 150,
         target: 500,
         patience: 3_000,
-        delicate: 44,
+        pause_sensitivity: 44,
         worth: 1.1,
         late: 0.31,
     },
@@ -91,7 +91,7 @@
         runs: 1_700,
         target: 300,
         patience: 10_000,
-        delicate: 100,
+        pause_sensitivity: 100,
         worth: 5.0,
         late: 0.45,
     },
@@ -101,7 +101,7 @@
 #[derive(Clone)]
 struct Ask {
     class: usize,
-    parts: Vec<Part>,
+    parts: Vec<PromptSegment>,
     /// When the caller sent it first.
     first_sent: u64,
     /// When this try was sent.
@@ -123,7 +123,7 @@
 struct Engine {
     runs: Vec<Run>,
     /// Kept parts, the last used at the end.
-    kept: VecDeque<Part>,
+    kept: VecDeque<PromptSegment>,
     down_until: u64,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// Tokens that a prompt need not be read; marks its parts as used.
-    fn spare(&mut self, parts: &[Part]) -> u64 {
+    fn spare(&mut self, parts: &[PromptSegment]) -> u64 {
         let mut spared = 0;
         let mut whole = true;
         for part in parts {
@@ -188,8 +188,8 @@
 
 /// One entry's knowledge.
 struct Entry {
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -217,8 +217,8 @@
         }
         let keys = ids.iter().map(|id| directory.key(id).unwrap()).collect();
         let entry = || Entry {
-            loads: (0..ENGINES).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); ENGINES],
+            loads: (0..ENGINES).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); ENGINES],
             prefixes: PrefixMap::default(),
         };
         Self {
@@ -304,7 +304,9 @@
         let parts = ids.iter().zip(of.parts);
         Ask {
             class,
-            parts: parts.map(|(id, tokens)| Part { id: *id, tokens }).collect(),
+            parts: parts
+                .map(|(id, tokens)| PromptSegment { id: *id, tokens })
+                .collect(),
             first_sent: now,
             sent: now,
         }
@@ -316,13 +318,13 @@
             return;
         };
         let of = CLASSES[ask.class];
-        let outlook = Outlook {
+        let outlook = EngineAdmission {
             band: of.band,
             expected_ms: choice.expected_ms,
             backlog_ms: choice.backlog_ms,
-            tightest: Millis(300),
-            left: Millis((ask.first_sent + of.patience).saturating_sub(now)),
-            less_urgent: Millis([4_000, 4_000, 0][of.band]),
+            shortest_target: Millis(300),
+            time_left: Millis((ask.first_sent + of.patience).saturating_sub(now)),
+            longest_less_urgent_time: Millis([4_000, 4_000, 0][of.band]),
             has_more_urgent: of.band > 0,
         };
         if self.turns_away && !outlook.is_admitted() {
@@ -337,7 +339,9 @@
         let entry = &mut self.entries[at];
         let ids = ask.parts.iter().map(|part| part.id);
         let read_at = Millis(now + choice.expected_ms as u64);
-        entry.prefixes.note(choice.key, ids, Millis(now), read_at);
+        entry
+            .prefixes
+            .record_use(choice.key, ids, Millis(now), read_at);
         entry.loads[engine].begin(choice.footprint, Millis(now));
         self.engines[engine].runs.push(Run {
             ask,
@@ -358,10 +362,10 @@
             target: Millis(of.target),
             zone: "hall-a",
             engine: Some(SHAPE),
-            delicate: of.delicate,
+            pause_sensitivity: of.pause_sensitivity,
             pause: Millis(400),
-            blind: Millis(TELL / 2),
-            room: RoomFor::default(),
+            visibility_delay: Millis(TELL / 2),
+            room: RoomInputs::default(),
             draw,
         };
         let entry = &self.entries[at];
@@ -371,7 +375,7 @@
             endpoint: self.directory.get(self.keys[i]).unwrap(),
             load: &entry.loads[i],
             record: &entry.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &entry.prefixes, now)
@@ -387,8 +391,8 @@
                 .collect();
             for (at, entry) in self.entries.iter_mut().enumerate() {
                 for (from, work) in works.iter().enumerate().filter(|(from, _)| *from != at) {
-                    let teller = Teller::Peer(PeerId(from as u64));
-                    entry.loads[engine].told(teller, *work, Millis(1_500), now);
+                    let teller = LoadSource::Peer(PeerId(from as u64));
+                    entry.loads[engine].record_remote(teller, *work, Millis(1_500), now);
                 }
             }
         }
--- a/tests/platform_formats.rs
+++ b/tests/platform_formats.rs
@@ -12,7 +12,7 @@
     WatchResult,
 };
 use violetline::direct::directory::Change;
-use violetline::direct::prefix::Part;
+use violetline::direct::prefix::PromptSegment;
 use violetline::platform::Platform;
 
 fn request(headers: &[(&str, &str)]) -> RequestHead {
@@ -55,7 +55,7 @@
     assert_eq!(ask.key.as_deref(), Some("n2ctnfzs989anu6wsjnb"));
     assert_eq!(ask.caller_timeout, Some(Millis(4_000)));
     assert_eq!(ask.output_tokens, 80);
-    let first = Part {
+    let first = PromptSegment {
         id: 0x5c1e_07a2,
         tokens: 800,
     };
