--- a/src/direct/entry/endpoint_states.rs
+++ b/src/direct/entry/endpoint_states.rs
@@ -108,9 +108,9 @@
         let now = self.clock.now();
         let mut endpoint_states = self.endpoint_states.borrow_mut();
         let idle = &mut endpoint_states.get_mut(key)?.idle_connections;
-        while let Some(channel) = idle.pop() {
-            if now < idle_until(&channel) && channel.is_idle() {
-                return Some(channel);
+        while let Some(connection) = idle.pop() {
+            if now < idle_until(&connection) && connection.is_idle() {
+                return Some(connection);
             }
         }
         None
@@ -118,12 +118,12 @@
 
     /// Keeps a connection for later requests; drops it if [`MAX_IDLE`] are kept already or the
     /// endpoint has left the list.
-    pub fn keep_connection(&self, key: EndpointKey, mut channel: Connection) {
-        channel.idle_since = self.clock.now();
+    pub fn keep_connection(&self, key: EndpointKey, mut connection: Connection) {
+        connection.idle_since = self.clock.now();
         let mut endpoint_states = self.endpoint_states.borrow_mut();
         if let Some(endpoint_state) = endpoint_states.get_mut(key) {
             if endpoint_state.idle_connections.len() < MAX_IDLE {
-                endpoint_state.idle_connections.push(channel);
+                endpoint_state.idle_connections.push(connection);
             }
         }
     }
@@ -333,7 +333,7 @@
         for endpoint_state in self.endpoint_states.borrow_mut().values_mut() {
             endpoint_state
                 .idle_connections
-                .retain(|channel| now < idle_until(channel));
+                .retain(|connection| now < idle_until(connection));
         }
     }
 }
@@ -423,9 +423,9 @@
 }
 
 /// Until when an idle connection may be used.
-fn idle_until(channel: &Connection) -> Millis {
-    let told = channel
+fn idle_until(connection: &Connection) -> Millis {
+    let told = connection
         .idle_time
         .map(|time| (time.0 as f64 * IDLE_FRACTION) as u64);
-    channel.idle_since + Millis(told.unwrap_or(MAX_IDLE_TIME.0).min(MAX_IDLE_TIME.0))
+    connection.idle_since + Millis(told.unwrap_or(MAX_IDLE_TIME.0).min(MAX_IDLE_TIME.0))
 }
--- a/src/direct/entry/suspicion.rs
+++ b/src/direct/entry/suspicion.rs
@@ -172,11 +172,11 @@
             match Connection::connect(address).await {
                 Err(ExchangeError::Refused) => entry.endpoint_ended(key, EndSign::Refused),
                 Err(_) => {}
-                Ok(channel) => {
+                Ok(connection) => {
                     entry.update_endpoint_state(key, |endpoint_state| {
                         endpoint_state.connected(begun)
                     });
-                    entry.keep_connection(key, channel);
+                    entry.keep_connection(key, connection);
                 }
             }
             entry.update_endpoint_state(key, EndpointState::finish_end_check);
