--- a/src/direct/budget.rs
+++ b/src/direct/budget.rs
@@ -1,75 +1,78 @@
-//! The retry budget of one pool over all entries: a sliding window, of which each entry takes its
-//! share without asking the others.
+//! Retry budget of one pool for all entries together. Each entry counts requests and retries in a
+//! sliding window and uses only its share of the budget, without asking the others.
 
 use std::collections::VecDeque;
 
 use crate::clock::Millis;
 
-/// Part of the fleet's allowance that is used; the rest absorbs unequal shares of traffic and
-/// wrong counts of entries for a moment.
-const USED_PART: f64 = 0.7;
+/// Fraction of the budget that is used. The rest covers unequal traffic between entries, and entry
+/// counts that are wrong for a moment.
+const USED_FRACTION: f64 = 0.7;
 
-/// Part of it that less urgent requests use.
-const LESS_URGENT_PART: f64 = 0.75;
+/// Fraction of the used budget that is available to less urgent requests.
+const LESS_URGENT_FRACTION: f64 = 0.75;
 
-/// What all entries together may send again to one pool.
+/// Retries that all entries together may send to one pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Length of the window that slides.
+    /// Length of the sliding window.
     pub window: Millis,
-    /// Repeats per first request in a window.
+    /// Retries per request in a window.
     pub ratio: f64,
-    /// Repeats in a window besides, over all entries.
+    /// Additional retries in a window, for all entries together.
     pub extra: f64,
 }
 
-/// One entry's count of requests and repeats of one pool.
+/// Requests and retries of one entry for one pool, within the sliding window.
 #[derive(Debug, Default)]
 pub struct RetryWindow {
-    /// When requests were read, the oldest first.
-    firsts: VecDeque<Millis>,
-    /// When repeats were sent, the oldest first.
-    repeats: VecDeque<Millis>,
+    /// Arrival times of requests, oldest first.
+    requests: VecDeque<Millis>,
+    /// Times at which retries were sent, oldest first.
+    retries: VecDeque<Millis>,
 }
 
 impl RetryWindow {
-    /// A request that the pool is to serve was read.
-    pub fn record_request(&mut self, now: Millis, allowance: RetryBudget) {
-        self.expire(now, allowance);
-        self.firsts.push_back(now);
+    /// Counts a request for the pool.
+    pub fn record_request(&mut self, now: Millis, budget: RetryBudget) {
+        self.drop_expired(now, budget);
+        self.requests.push_back(now);
     }
 
-    /// Whether one more repeat may be sent by one of `entries` entries; counts it. With `leaves_some`, a part is left to more
-    /// urgent requests: while endpoints turn away, less urgent ones would use all of it.
+    /// Counts one more retry and returns true if the budget allows it. `entries` is the number of
+    /// entries that share the budget. With `reserve`, a fraction of the budget is left
+    /// for more urgent requests: while endpoints reject requests, less urgent ones would use all of
+    /// it.
     #[must_use]
     pub fn try_take(
         &mut self,
         now: Millis,
-        allowance: RetryBudget,
+        budget: RetryBudget,
         entries: usize,
-        leaves_some: bool,
+        reserve: bool,
     ) -> bool {
-        self.expire(now, allowance);
-        let own = allowance.ratio * self.firsts.len() as f64;
-        let shared = allowance.extra / entries.max(1) as f64;
-        let part = if leaves_some { LESS_URGENT_PART } else { 1.0 };
-        let may = (self.repeats.len() as f64) + 1.0 <= USED_PART * (own + shared) * part;
-        if may {
-            self.repeats.push_back(now);
+        self.drop_expired(now, budget);
+        let from_requests = budget.ratio * self.requests.len() as f64;
+        let shared = budget.extra / entries.max(1) as f64;
+        let fraction = if reserve { LESS_URGENT_FRACTION } else { 1.0 };
+        let is_allowed = (self.retries.len() as f64) + 1.0
+            <= USED_FRACTION * (from_requests + shared) * fraction;
+        if is_allowed {
+            self.retries.push_back(now);
         }
-        may
+        is_allowed
     }
 
-    /// Repeats sent within the window.
+    /// Number of retries sent within the window.
     pub fn retries(&self) -> usize {
-        self.repeats.len()
+        self.retries.len()
     }
 
-    /// Forgets what is older than the window.
-    fn expire(&mut self, now: Millis, allowance: RetryBudget) {
-        let from = now - allowance.window;
-        for queue in [&mut self.firsts, &mut self.repeats] {
-            while queue.front().is_some_and(|at| *at < from) {
+    /// Drops requests and retries that are older than the window.
+    fn drop_expired(&mut self, now: Millis, budget: RetryBudget) {
+        let window_start = now - budget.window;
+        for queue in [&mut self.requests, &mut self.retries] {
+            while queue.front().is_some_and(|at| *at < window_start) {
                 queue.pop_front();
             }
         }
