--- a/src/direct/choose.rs
+++ b/src/direct/choose.rs
@@ -1,5 +1,6 @@
-//! The choice of an endpoint: the one with the least price, see [`crate::direct::price`], with the
-//! prompt's kept parts from its own memory or moved there, see [`crate::direct::moves`].
+//! Choice of an endpoint for a request: the one with the lowest price, see
+//! [`crate::direct::price`]. The cached prefix of the prompt comes from that endpoint's own memory
+//! or is transferred to it, see [`crate::direct::moves`].
 
 use crate::clock::Millis;
 use crate::direct::demand::{Candidate, CandidateState, Demand};
@@ -9,67 +10,71 @@
 use crate::direct::load::{EndpointWork, Footprint, BANDS};
 use crate::direct::moves::{PrefixReuse, Sources};
 use crate::direct::prefix::PrefixMap;
-use crate::direct::price::{self, READ_TOKENS_PER_MS};
+use crate::direct::price::{self, PREFILL_TOKENS_PER_MS};
 use crate::direct::room::PoolRoom;
 
-/// Part of the memory that running requests and kept parts have together; a margin for what is not
-/// known yet.
-const KEPT_PART: f64 = 0.9;
+/// Fraction of an engine's memory that running requests and cached segments are assumed to use
+/// together; the rest is a margin for work that is not known here yet.
+const CACHE_FRACTION: f64 = 0.9;
 
-/// The endpoint chosen and why.
+/// The chosen endpoint, with the estimates behind the choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Time until the first event, by estimate, in ms.
+    /// Estimated time until the first event, in ms.
     pub expected_ms: f64,
-    /// The same for an endpoint as fast as the estimate takes it, in ms; what the endpoint's record compares.
+    /// The same estimate for an endpoint of nominal speed, in ms. The endpoint's health record
+    /// compares observed times with it.
     pub nominal_ms: f64,
-    /// What the request will add there.
+    /// Load that the request will add to the endpoint.
     pub footprint: Footprint,
-    /// Grade of the endpoint's record.
+    /// Health grade of the endpoint.
     pub grade: Grade,
-    /// Where the prompt's tokens come from.
+    /// Tokens of the prompt that need no prefill at the endpoint, and where they come from.
     pub reuse: PrefixReuse,
-    /// Mean time that the candidates need to read the prompts that they have, in ms.
+    /// Mean time that the candidates need to prefill the prompts already assigned to them, in ms.
     pub backlog_ms: f64,
     /// Whether all slots of the endpoint are taken.
     pub is_full: bool,
-    /// Whether it has a slot for the request, beside those that are left free for more urgent ones.
+    /// Whether the endpoint has a slot for the request, in addition to those reserved for more
+    /// urgent ones.
     pub has_room: bool,
-    /// Part of the less urgent requests that come to the pool which may be sent; 1 or more where all may.
+    /// Fraction of the less urgent requests arriving for the pool that may be sent; 1 or more if
+    /// all may.
     pub admitted_fraction: f64,
-    /// The most urgent band of which prompts are being read at the candidates, if any.
+    /// Most urgent band whose prompts are being prefilled at a candidate, if any.
     pub most_urgent_unread_band: Option<usize>,
 }
 
-/// Rank of an endpoint, the least first: how it may be used, whether it has no room, its lot where lots are drawn, and its
-/// price.
+/// Rank of an endpoint, lowest first: its health grade, whether it has no slot for the request, its
+/// lottery key if endpoints are drawn at random (0 otherwise), and its price.
 type Rank = (Grade, bool, f64, f64);
 
-/// Chooses among `candidates`; `None` when there is none.
+/// Chooses among `candidates`; returns `None` if there is none.
 pub fn choose<'a>(
     demand: Demand<'a>,
     candidates: impl Iterator<Item = Candidate<'a>>,
     prefixes: &PrefixMap,
     now: Millis,
 ) -> Option<Choice> {
-    let mut all: Vec<CandidateState<'a>> =
-        candidates.map(|c| see(&demand, c, prefixes, now)).collect();
-    keep_for_streams(&demand, &mut all);
-    mark_home(&demand, &mut all);
-    let backlog_ms = price::backlog_ms(&all);
+    let mut states: Vec<CandidateState<'a>> = candidates
+        .map(|c| candidate_state(&demand, c, prefixes, now))
+        .collect();
+    reserve_for_streams(&demand, &mut states);
+    mark_home(&demand, &mut states);
+    let backlog_ms = price::backlog_ms(&states);
     let most_urgent_unread_band =
-        (0..BANDS).find(|band| all.iter().any(|state| state.total.unread[*band] > 0));
-    let room = demand.room.pool_room(&all, now);
+        (0..BANDS).find(|band| states.iter().any(|state| state.total.unread[*band] > 0));
+    let room = demand.room.pool_room(&states, now);
     let mut best: Option<(Rank, Choice)> = None;
-    let sources = Sources::find(&demand, &all, now);
-    for state in &all {
+    let sources = Sources::find(&demand, &states, now);
+    for state in &states {
         let cached = PrefixReuse::cached(state.cached_tokens);
         let moved = sources.reuse(state);
         let has_room = has_room(&demand, state, &room, now);
-        let lot = match has_room && room.is_contended() && demand.engine.is_some() {
-            true => room.lot(state, demand.lot_draw(state.candidate.endpoint.digest)),
+        let lottery_key = match has_room && room.is_contended() && demand.engine.is_some() {
+            true => room.lottery_key(state, demand.lottery_draw(state.candidate.endpoint.digest)),
             false => 0.0,
         };
         for reuse in std::iter::once(cached).chain(moved) {
@@ -78,9 +83,9 @@
                 ..estimate(&demand, state, reuse, now)
             };
             let price = price::price_ms(&demand, state, &reuse, now);
-            let grade = usable_grade(choice.grade, &state.candidate, now);
-            let rank = (grade, !has_room, lot, price);
-            if best.as_ref().is_none_or(|(least, _)| rank < *least) {
+            let grade = effective_grade(choice.grade, &state.candidate, now);
+            let rank = (grade, !has_room, lottery_key, price);
+            if best.as_ref().is_none_or(|(best_rank, _)| rank < *best_rank) {
                 best = Some((rank, choice));
             }
         }
@@ -93,16 +98,16 @@
     })
 }
 
-/// What is known of an endpoint for one request.
-fn see<'a>(
+/// Collects what is known of an endpoint for one request.
+fn candidate_state<'a>(
     demand: &Demand<'_>,
     candidate: Candidate<'a>,
     prefixes: &PrefixMap,
     now: Millis,
 ) -> CandidateState<'a> {
     let total = candidate.load.total(now);
-    let kept_since = kept_since(demand, total, now);
-    let cached = prefixes.cached(candidate.key, demand.parts, kept_since, now);
+    let cached_since = cached_since(demand, total, now);
+    let cached = prefixes.cached(candidate.key, demand.parts, cached_since, now);
     CandidateState {
         cached_tokens: cached.sent,
         transferable_tokens: cached.prefilled,
@@ -113,37 +118,40 @@
     }
 }
 
-/// Marks the home of the prompt's deepest shared part: of the endpoints that are well, the one with
-/// the greatest weight. What nobody is known to keep is read there, by whichever entry it is sent.
-fn mark_home(demand: &Demand<'_>, all: &mut [CandidateState<'_>]) {
+/// Marks the home of the prompt's deepest shared segment: the healthy endpoint with the highest
+/// weight for it. Shared tokens that no endpoint is known to cache are prefilled there, whichever
+/// entry sends the request.
+fn mark_home(demand: &Demand<'_>, states: &mut [CandidateState<'_>]) {
     if demand.engine.is_none() || demand.shared_tokens() == 0 {
         return;
     }
-    let most_known = all.iter().map(|state| state.cached_tokens).max();
+    let max_cached = states.iter().map(|state| state.cached_tokens).max();
     let weight =
         |state: &&mut CandidateState<'_>| demand.home_weight(state.candidate.endpoint.digest);
-    let well = all
+    let healthy = states
         .iter_mut()
         .filter(|state| !state.candidate.record.is_ejected());
-    if let Some(home) = well.max_by_key(weight) {
-        let known = most_known.unwrap_or_default();
-        home.uncached_home_tokens = Some(demand.shared_tokens().saturating_sub(known));
+    if let Some(home) = healthy.max_by_key(weight) {
+        let most_cached = max_cached.unwrap_or_default();
+        home.uncached_home_tokens = Some(demand.shared_tokens().saturating_sub(most_cached));
     }
 }
 
-/// Marks the endpoints that are kept for delicate streams; none where no stream is.
-fn keep_for_streams(demand: &Demand<'_>, all: &mut [CandidateState<'_>]) {
+/// Marks the endpoints that are reserved for latency-sensitive streams; none if the pool has no
+/// streams.
+fn reserve_for_streams(demand: &Demand<'_>, states: &mut [CandidateState<'_>]) {
     if demand.pause == Millis(0) {
         return;
     }
-    let lanes = StreamPartition::compute(all, READ_TOKENS_PER_MS);
-    for state in all {
-        state.is_reserved = lanes.is_reserved(state.candidate.key);
+    let partition = StreamPartition::compute(states, PREFILL_TOKENS_PER_MS);
+    for state in states {
+        state.is_reserved = partition.is_reserved(state.candidate.key);
     }
 }
 
-/// A trial that is free counts as good, so that it happens; others only when nothing is good.
-fn usable_grade(grade: Grade, candidate: &Candidate<'_>, now: Millis) -> Grade {
+/// Grade used for ranking: a full endpoint is `Poor`, and one that is due for a trial and has no
+/// request of this entry is `Good`, so that the trial takes place.
+fn effective_grade(grade: Grade, candidate: &Candidate<'_>, now: Millis) -> Grade {
     match grade {
         _ if candidate.load.is_full(now) => Grade::Poor,
         Grade::Trial if candidate.load.own(now).running == 0 => Grade::Good,
@@ -151,7 +159,7 @@
     }
 }
 
-/// The estimate for one endpoint, and what the request would add there.
+/// Estimates for one endpoint, and the load that the request would add to it.
 fn estimate(
     demand: &Demand<'_>,
     state: &CandidateState<'_>,
@@ -160,7 +168,7 @@
 ) -> Choice {
     let candidate = &state.candidate;
     let prompt = demand.prompt_tokens();
-    let unread = prompt - reuse.spared();
+    let unread = prompt - reuse.reused_tokens();
     let footprint = Footprint {
         band: demand.band,
         unread: u32::try_from(unread).unwrap_or(u32::MAX),
@@ -170,7 +178,7 @@
     Choice {
         key: candidate.key,
         expected_ms: price::expected_ms(demand, state, &reuse, now),
-        nominal_ms: price::time_ms(demand, state, &reuse, now),
+        nominal_ms: price::nominal_time_ms(demand, state, &reuse, now),
         footprint,
         grade: candidate.record.grade(now),
         reuse,
@@ -182,7 +190,8 @@
     }
 }
 
-/// Whether an endpoint has room for the request; plain services are chosen by their queues alone.
+/// Whether an endpoint has a slot for the request; always true for plain services, which are chosen
+/// by their queues alone.
 fn has_room(demand: &Demand<'_>, state: &CandidateState<'_>, room: &PoolRoom, now: Millis) -> bool {
     if demand.engine.is_none() {
         return true;
@@ -190,10 +199,10 @@
     !state.candidate.load.is_full(now) && room.free_slots(state) > 0.0
 }
 
-/// The time since which an endpoint keeps unused parts: what runs leaves the rest of its memory to
-/// them, and prompts that are read push the oldest out.
-fn kept_since(demand: &Demand<'_>, total: EndpointWork, now: Millis) -> Millis {
-    let free = demand.memory_tokens() as f64 * KEPT_PART - f64::from(total.held);
-    let kept_ms = free.max(0.0) / total.prefill_tokens_per_ms().max(f64::EPSILON);
-    now - Millis(kept_ms as u64)
+/// Time of last use from which segments are still cached at an endpoint: running requests leave the
+/// rest of its memory to the cache, and prefilled prompts evict the oldest segments.
+fn cached_since(demand: &Demand<'_>, total: EndpointWork, now: Millis) -> Millis {
+    let free = demand.memory_tokens() as f64 * CACHE_FRACTION - f64::from(total.held);
+    let retention_ms = free.max(0.0) / total.prefill_tokens_per_ms().max(f64::EPSILON);
+    now - Millis(retention_ms as u64)
 }
