--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -1,83 +1,94 @@
-//! The terms of an endpoint's price for a request, in ms: what it adds to the time until the first
-//! event, and what it costs the requests beside it.
+//! Terms of the price of an endpoint for a request, in ms: the time that it adds until the first
+//! event, and what the request costs the other requests there.
 
 use crate::clock::Millis;
 use crate::direct::demand::{Candidate, CandidateState, Demand};
 use crate::direct::load::{stream_equivalents, EndpointWork, BANDS, FULL_STREAM};
 use crate::direct::moves::PrefixReuse;
 
-/// Prompt tokens that an engine reads in a millisecond. Only the ratio to the other terms matters:
-/// the record corrects the rest per endpoint.
-pub const READ_TOKENS_PER_MS: f64 = 50.0;
-/// Added to the time by each request of the batch, in ms; each makes every step a little longer.
-const BATCH_MS: f64 = 0.8;
-/// Base of the estimate, in ms: a step and the way there.
+/// Prompt tokens that an engine prefills per millisecond. Only the ratio to the other terms
+/// matters: the endpoint's health record corrects the rest.
+pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
+/// Time added by each request of the batch, in ms: each makes every step slightly longer.
+const BATCHED_REQUEST_MS: f64 = 0.8;
+/// Constant part of the estimate, in ms: one step and the network round trip.
 const BASE_MS: f64 = 8.0;
-/// Price of another availability zone, in ms: bytes between zones are paid for.
+/// Price of another availability zone, in ms: traffic between zones is charged.
 const OTHER_ZONE_MS: f64 = 6.0;
-/// Part of less urgent work that still delays a more urgent request: what has begun goes on.
-const LESS_URGENT_PART: f64 = 0.35;
-/// Weight of the time beyond the target, besides that time itself: a request in time beside streams goes
-/// before one that is late apart from them, and no request waits past its target where its parts are kept.
-const LATE: f64 = 6.0;
-/// Weight of the time that reading a prompt takes from each delicate stream beside it. Without it and
-/// [`HARM_BEYOND`], prompts are read beside streams and make them late.
-const HARM: f64 = 1.0;
-/// Part of the tightest pause that reading beside a delicate stream may fill without harm.
-const PAUSE_PART: f64 = 0.35;
-/// Weight of the reading time beyond that, for each delicate stream: it comes late then.
-const HARM_BEYOND: f64 = 4.0;
-/// Weight of the reading that a delicate stream must expect beside it, where others' choices are seen. It gathers
-/// streams on few engines, so it falls with the square of [`unseen`]: a hundred entries would fill some engines while most
+/// Fraction of less urgent work that still delays a more urgent request, since work that has
+/// started continues.
+const LESS_URGENT_FRACTION: f64 = 0.35;
+/// Weight of the time beyond the target, in addition to that time itself. A request that is in time
+/// next to streams is preferred to one that is late apart from them, and no request waits past its
+/// target for an endpoint that has its prefix cached.
+const LATE_WEIGHT: f64 = 6.0;
+/// Weight of the prefill time, for each latency-sensitive stream at the same engine. Without it and
+/// [`EXCESS_PREFILL_WEIGHT`], prompts are prefilled next to streams and make them late.
+const PREFILL_WEIGHT: f64 = 1.0;
+/// Fraction of the shortest allowed pause that prefill may fill without delaying a stream.
+const PAUSE_FRACTION: f64 = 0.35;
+/// Weight of the prefill time beyond that, for each latency-sensitive stream, which is then late.
+const EXCESS_PREFILL_WEIGHT: f64 = 4.0;
+/// Weight of the prefill that a latency-sensitive stream must expect at the same engine, if other
+/// entries' choices are visible. This term gathers streams on few engines, so it falls with the
+/// square of [`visibility_factor`]: otherwise a hundred entries would fill some engines while most
 /// are idle.
-const EXPOSURE: f64 = 0.4;
-/// Price of a full batch where others' choices are seen, in ms; it grows with the square of the part in use. With
-/// more, streams leave engines with room for ones that read. It grows with the square of [`unseen`]: entries that don't see
-/// each other overfill an engine together.
+const EXPOSURE_WEIGHT: f64 = 0.4;
+/// Price of a full batch if other entries' choices are visible, in ms; the price of a partly filled
+/// one is proportional to the square of the fraction in use. With a larger value, streams leave
+/// engines that have capacity for ones that are prefilling. It grows with the square of
+/// [`visibility_factor`], because entries that don't see each other's choices overfill an engine
+/// together.
 const FULL_BATCH_MS: f64 = 200.0;
-/// Time for which others' choices stay unseen up to which streams may be gathered, in ms: that of
-/// thirty entries.
-const SEEN_MS: f64 = 225.0;
-/// Part of the slots beyond which a request may have to wait for one.
-const BATCH_FULL: f64 = 0.85;
-/// Price of each request beyond that, in ms: a stream's length over the slots of its engine.
-const OVERFULL_MS: f64 = 25.0;
-/// Weight of shared tokens that are read again by a coarse request, beyond the time that this takes: it is
-/// work done twice, also for those who wait behind it, and the part is then kept at two places.
-const READ_AGAIN: f64 = 60.0;
-/// The same at the home of the tokens, where they are to be kept.
-const READ_AGAIN_HOME: f64 = 8.0;
-/// The same for a delicate stream, whose prompt is short and whose place matters more.
-const READ_AGAIN_DELICATE: f64 = 8.0;
-/// Price of moving a token, in ms: links and memory are shared, and a prompt stays where its parts are
-/// unless that is busy. With less, more is moved and more read again, since copies drive other parts out of memory.
-const MOVED_MS: f64 = 0.06;
-/// Memory in use above which an engine may have to preempt.
-const MEMORY_FULL: f64 = 0.88;
-/// Price of overfull memory, in ms: some request is preempted and read anew, which costs more than
-/// reading the shared parts of this one elsewhere.
-const MEMORY_MS: f64 = 8_000.0;
-/// Price of an endpoint that is kept for the other kind of load, in ms: no wall, so that a burst of
-/// one kind spills over.
-const OTHER_LANE_MS: f64 = 100.0;
-/// Most of the random addition to a price, in ms, besides [`SPREAD_READ`]. It parts the choices of many
-/// entries that know the same.
-const SPREAD_MS: f64 = 20.0;
-/// Most of the random addition to a price by the time that reading takes.
-const SPREAD_READ: f64 = 1.0;
-/// Time for which others' choices stay unseen from which on the addition is whole, in ms.
-const BLIND_MS: f64 = 300.0;
-/// Price of each request that waits at the endpoint by its own word, in ms.
-const WAITING_MS: f64 = 15.0;
-/// Work of a plain service for one request, in ms. Only the shape of the estimate matters: the record
-/// corrects the rest per endpoint.
-const PLAIN_MS: f64 = 20.0;
-/// Added to the time of a plain service whose slots are all taken, in ms, so that requests spread.
+/// Visibility delay of other entries' choices up to which streams may be gathered, in ms: that of a
+/// fleet of thirty entries.
+const VISIBLE_DELAY_MS: f64 = 225.0;
+/// Fraction of the slots in use beyond which a request may have to wait for one.
+const FULL_BATCH_FRACTION: f64 = 0.85;
+/// Price of each request beyond that, in ms: the duration of a stream divided by the slots of its
+/// engine.
+const OVERFULL_BATCH_MS: f64 = 25.0;
+/// Weight of shared tokens that are prefilled again by a request that is not latency-sensitive, in
+/// addition to the time that this takes: the work is repeated, requests queued behind it wait for
+/// it too, and the segment is then cached in two places.
+const REPEATED_PREFILL_WEIGHT: f64 = 60.0;
+/// The same at the home of the tokens, where they are meant to be cached.
+const REPEATED_PREFILL_WEIGHT_HOME: f64 = 8.0;
+/// The same for a latency-sensitive stream, whose prompt is short and for which the choice of the
+/// engine matters more.
+const REPEATED_PREFILL_WEIGHT_SENSITIVE: f64 = 8.0;
+/// Price of transferring a token, in ms. Links and memory are shared, so a prompt stays where its
+/// prefix is cached unless that endpoint is busy. With a lower value, more is transferred and also
+/// more is prefilled again, since the copies evict other segments.
+const TRANSFERRED_TOKEN_MS: f64 = 0.06;
+/// Fraction of memory in use above which an engine may have to preempt requests.
+const FULL_MEMORY_FRACTION: f64 = 0.88;
+/// Price of overfull memory, in ms: a request is preempted and prefilled again, which costs more
+/// than prefilling the shared segments of this one elsewhere.
+const FULL_MEMORY_MS: f64 = 8_000.0;
+/// Price of an endpoint that is reserved for the other kind of load, in ms: not prohibitive, so
+/// that a burst of one kind can use the other's endpoints.
+const OTHER_PARTITION_MS: f64 = 100.0;
+/// Upper bound of the random term of a price, in ms, in addition to [`RANDOM_PREFILL_WEIGHT`]. The
+/// random term spreads the choices of entries that have the same knowledge.
+const RANDOM_MS: f64 = 20.0;
+/// Upper bound of the random term relative to the prefill time.
+const RANDOM_PREFILL_WEIGHT: f64 = 1.0;
+/// Visibility delay of other entries' choices from which the random term has its full size, in ms.
+const FULL_RANDOM_DELAY_MS: f64 = 300.0;
+/// Time for each request that is queued at the endpoint according to its own report, in ms.
+const QUEUED_REQUEST_MS: f64 = 15.0;
+/// Time that a plain service takes for one request, in ms. Only the shape of the estimate matters:
+/// the endpoint's health record corrects the rest.
+const PLAIN_REQUEST_MS: f64 = 20.0;
+/// Time added at a plain service whose slots are all in use, in ms and in proportion to the slots
+/// in use, so that requests spread over endpoints.
 const USED_SLOTS_MS: f64 = 5.0;
-/// Price of an endpoint that warms up, in ms.
+/// Price of an endpoint that is warming up, in ms.
 const WARMING_MS: f64 = 60.0;
 
-/// Time until the first event, by estimate.
+/// Estimated time until the first event at this endpoint, in ms: [`nominal_time_ms`] corrected by
+/// its observed slowness.
 pub fn expected_ms(
     demand: &Demand<'_>,
     state: &CandidateState<'_>,
@@ -85,186 +96,200 @@
     now: Millis,
 ) -> f64 {
     let slowness = state.candidate.record.slowness(now);
-    time_ms(demand, state, reuse, now) * slowness
+    nominal_time_ms(demand, state, reuse, now) * slowness
 }
 
-/// Price of an endpoint: the time until the first event, and what the request costs others.
+/// Price of an endpoint, in ms: the weighted time until the first event, and what the request costs
+/// others.
 pub fn price_ms(
     demand: &Demand<'_>,
     state: &CandidateState<'_>,
     reuse: &PrefixReuse,
     now: Millis,
 ) -> f64 {
-    let unread = demand.prompt_tokens() - reuse.spared();
-    own_ms(demand, expected_ms(demand, state, reuse, now))
-        + full_ms(demand, state)
-        + memory_ms(demand, state.total)
-        + beside_ms(demand, state, unread)
-        + distance_ms(demand, &state.candidate)
-        + again_ms(demand, state, reuse)
-        + reuse.moved as f64 * MOVED_MS
-        + lane_ms(demand, state)
-        + spread_ms(demand, state, unread)
+    let unread = demand.prompt_tokens() - reuse.reused_tokens();
+    latency_price_ms(demand, expected_ms(demand, state, reuse, now))
+        + batch_price_ms(demand, state)
+        + memory_price_ms(demand, state.total)
+        + interference_price_ms(demand, state, unread)
+        + zone_and_warm_up_price_ms(demand, &state.candidate)
+        + repeated_prefill_price_ms(demand, state, reuse)
+        + reuse.moved as f64 * TRANSFERRED_TOKEN_MS
+        + partition_price_ms(demand, state)
+        + random_price_ms(demand, state, unread)
 }
 
-/// Price of shared tokens that are read again: some other endpoint keeps them, or the home of those that
-/// nobody is known to keep. Entries that don't hear of each other's placements would have them read
-/// everywhere. At their home a copy more is worth its reading: all entries find it there.
-fn again_ms(demand: &Demand<'_>, state: &CandidateState<'_>, reuse: &PrefixReuse) -> f64 {
+/// Price of prefilling shared tokens that are cached at another endpoint, or that no endpoint has
+/// cached and that belong at another home. Without it, entries that don't hear of each other's
+/// placements would have the tokens prefilled at every endpoint. At their home the price is lower:
+/// an additional copy is useful there, because all entries will find it.
+fn repeated_prefill_price_ms(
+    demand: &Demand<'_>,
+    state: &CandidateState<'_>,
+    reuse: &PrefixReuse,
+) -> f64 {
     let uncached_home_tokens = state.uncached_home_tokens.unwrap_or_default();
-    let spared = reuse.spared() + uncached_home_tokens;
-    let again = demand.shared_tokens().saturating_sub(spared);
+    let reused = reuse.reused_tokens() + uncached_home_tokens;
+    let repeated = demand.shared_tokens().saturating_sub(reused);
     let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
-    let coarse = match state.uncached_home_tokens {
-        Some(_) => READ_AGAIN_HOME,
-        None => READ_AGAIN,
+    let insensitive_weight = match state.uncached_home_tokens {
+        Some(_) => REPEATED_PREFILL_WEIGHT_HOME,
+        None => REPEATED_PREFILL_WEIGHT,
     };
-    read_ms(again as f64) * (coarse * (1.0 - own) + READ_AGAIN_DELICATE * own)
+    prefill_ms(repeated as f64)
+        * (insensitive_weight * (1.0 - own) + REPEATED_PREFILL_WEIGHT_SENSITIVE * own)
 }
 
-/// How many times longer than with [`SEEN_MS`] others' choices stay unseen; 1 or more.
-fn unseen(demand: &Demand<'_>) -> f64 {
-    (demand.visibility_delay.0 as f64 / SEEN_MS).max(1.0)
+/// Ratio of the visibility delay of other entries' choices to [`VISIBLE_DELAY_MS`], at least 1.
+fn visibility_factor(demand: &Demand<'_>) -> f64 {
+    (demand.visibility_delay.0 as f64 / VISIBLE_DELAY_MS).max(1.0)
 }
 
-/// Price of the request's own time: a delay that leaves it in time costs its caller little, and the
-/// more the nearer its target comes. It leaves room to spare the streams beside it.
-fn own_ms(demand: &Demand<'_>, expected: f64) -> f64 {
+/// Price of the request's own latency. Far below its target a delay costs its caller little, and
+/// the cost rises toward the target; this leaves freedom to choose an endpoint where no streams are
+/// delayed.
+fn latency_price_ms(demand: &Demand<'_>, expected: f64) -> f64 {
     let target = demand.target.0 as f64;
     if expected < target {
         expected * expected / target
     } else {
-        expected + (expected - target) * LATE
+        expected + (expected - target) * LATE_WEIGHT
     }
 }
 
-/// Price of an endpoint that is kept for the other kind of load.
-fn lane_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
+/// Price of an endpoint that is reserved for the other kind of load; 0 if the pool has no streams.
+fn partition_price_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
     if demand.pause == Millis(0) {
         return 0.0;
     }
     let own = stream_equivalents(demand.pause_sensitivity.min(FULL_STREAM));
-    let unfit = if state.is_reserved { 1.0 - own } else { own };
-    unfit * OTHER_LANE_MS
+    let mismatch = if state.is_reserved { 1.0 - own } else { own };
+    mismatch * OTHER_PARTITION_MS
 }
 
-/// A random addition that parts entries which choose at the same time and don't see each other's
-/// choices yet; `unread` is what the endpoint would read.
-fn spread_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
+/// Random term that spreads the choices of entries which choose at the same time and don't see each
+/// other's choices yet; `unread` is the number of tokens that the endpoint would have to prefill.
+fn random_price_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
     let draw = demand.draw_for(state.candidate.endpoint.digest);
-    let part = draw as f64 / u64::MAX as f64;
-    let read = read_ms(unread as f64);
-    let unseen = (demand.visibility_delay.0 as f64 / BLIND_MS).min(1.0);
-    part * unseen * (SPREAD_MS + read * SPREAD_READ)
+    let fraction = draw as f64 / u64::MAX as f64;
+    let prefill = prefill_ms(unread as f64);
+    let visibility_factor = (demand.visibility_delay.0 as f64 / FULL_RANDOM_DELAY_MS).min(1.0);
+    fraction * visibility_factor * (RANDOM_MS + prefill * RANDOM_PREFILL_WEIGHT)
 }
 
-/// Time that an engine takes to read prompt tokens.
-fn read_ms(tokens: f64) -> f64 {
-    tokens / READ_TOKENS_PER_MS
+/// Time that an engine takes to prefill tokens, in ms.
+fn prefill_ms(tokens: f64) -> f64 {
+    tokens / PREFILL_TOKENS_PER_MS
 }
 
-/// Mean time that endpoints need to read the prompts that they have, in ms.
-pub fn backlog_ms(all: &[CandidateState<'_>]) -> f64 {
-    let unread: f64 = all
+/// Mean time that endpoints need to prefill the prompts already assigned to them, in ms; 0 if there
+/// are none.
+pub fn backlog_ms(states: &[CandidateState<'_>]) -> f64 {
+    let unread: f64 = states
         .iter()
         .map(|state| f64::from(state.total.total_unread()))
         .sum();
-    read_ms(unread) / all.len().max(1) as f64
+    prefill_ms(unread) / states.len().max(1) as f64
 }
 
-/// Time until the first event if the endpoint were as fast as estimated: reading what goes before
-/// and the request itself, a move, the batch, and what waits.
-pub fn time_ms(
+/// Estimated time until the first event at an endpoint of nominal speed, in ms: prefill of the
+/// prompts ahead and of the request itself, transfer, batch, and queued requests.
+pub fn nominal_time_ms(
     demand: &Demand<'_>,
     state: &CandidateState<'_>,
     reuse: &PrefixReuse,
     now: Millis,
 ) -> f64 {
     let (candidate, total) = (&state.candidate, state.total);
-    let unread = demand.prompt_tokens() - reuse.spared();
+    let unread = demand.prompt_tokens() - reuse.reused_tokens();
     if demand.engine.is_none() {
-        return BASE_MS + plain_ms(state, now);
+        return BASE_MS + plain_time_ms(state, now);
     }
-    let read = read_ms(tokens_before(demand, total) + unread as f64);
-    let batch = f64::from(total.running) * BATCH_MS;
-    let waiting = f64::from(candidate.load.waiting(now)) * WAITING_MS;
-    BASE_MS + read + reuse.move_ms(demand) + batch + waiting
+    let prefill = prefill_ms(tokens_before(demand, total) + unread as f64);
+    let batch = f64::from(total.running) * BATCHED_REQUEST_MS;
+    let waiting = f64::from(candidate.load.waiting(now)) * QUEUED_REQUEST_MS;
+    BASE_MS + prefill + reuse.transfer_ms(demand) + batch + waiting
 }
 
-/// Prompt tokens that are read before the request's own; less urgent ones count in part.
+/// Prompt tokens that are prefilled before the request's own; less urgent ones count in part.
 fn tokens_before(demand: &Demand<'_>, total: EndpointWork) -> f64 {
     let mut before = 0.0;
     for band in 0..BANDS {
-        let part = if band <= demand.band {
+        let fraction = if band <= demand.band {
             1.0
         } else {
-            LESS_URGENT_PART
+            LESS_URGENT_FRACTION
         };
-        before += f64::from(total.unread[band]) * part;
+        before += f64::from(total.unread[band]) * fraction;
     }
     before
 }
 
-/// Time that a plain service takes: its work, once a slot is free, and a little for each that is taken.
-fn plain_ms(state: &CandidateState<'_>, now: Millis) -> f64 {
+/// Estimated time at a plain service: the wait for a free slot, the request itself, and a little
+/// for each slot in use.
+fn plain_time_ms(state: &CandidateState<'_>, now: Millis) -> f64 {
     let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
     let present = f64::from(state.candidate.load.occupancy(now));
     let queued = (present + 1.0 - slots).max(0.0);
-    PLAIN_MS * (1.0 + queued / slots) + present / slots * USED_SLOTS_MS
+    PLAIN_REQUEST_MS * (1.0 + queued / slots) + present / slots * USED_SLOTS_MS
 }
 
-/// Price of a batch that fills; none at plain services.
-fn full_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
+/// Price of the batch that the request joins, rising as it fills; 0 for plain services.
+fn batch_price_ms(demand: &Demand<'_>, state: &CandidateState<'_>) -> f64 {
     if demand.engine.is_none() {
         return 0.0;
     }
-    let used = used_slots(state);
+    let used_fraction = used_slot_fraction(state);
     let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
-    let over = (used - BATCH_FULL).max(0.0) * slots;
-    used * used * FULL_BATCH_MS * unseen(demand).powi(2) + over * OVERFULL_MS
+    let excess_slots = (used_fraction - FULL_BATCH_FRACTION).max(0.0) * slots;
+    used_fraction * used_fraction * FULL_BATCH_MS * visibility_factor(demand).powi(2)
+        + excess_slots * OVERFULL_BATCH_MS
 }
 
-/// Part of the slots in use; more than 1 where requests wait.
-fn used_slots(state: &CandidateState<'_>) -> f64 {
+/// Fraction of the slots in use; above 1 if requests are queued.
+fn used_slot_fraction(state: &CandidateState<'_>) -> f64 {
     let slots = f64::from(state.candidate.endpoint.listed.slots.max(1));
     f64::from(state.total.running) / slots
 }
 
-/// What reading beside streams costs: an engine reads prompts between the tokens of all others,
-/// so a long one stretches their pauses. Long prompts and delicate streams therefore avoid each
-/// other, which parts the engines between them as far as the load allows.
-fn beside_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
+/// Price of prefill at the same engine as streams. An engine prefills prompts between the tokens of
+/// all its streams, so a long prompt stretches their pauses. Long prompts and latency-sensitive
+/// streams therefore avoid each other, which separates them onto different engines as far as the
+/// load allows.
+fn interference_price_ms(demand: &Demand<'_>, state: &CandidateState<'_>, unread: u64) -> f64 {
     let total = state.total;
     let own = stream_equivalents(demand.pause_sensitivity);
     let others = stream_equivalents(total.pause_sensitivity);
-    let read = read_ms(unread as f64);
-    let queued = read_ms(f64::from(total.total_unread()));
-    let beyond = (queued + read - demand.pause.0 as f64 * PAUSE_PART).clamp(0.0, read);
-    let harm = others * (read * (1.0 - own) * HARM + beyond * HARM_BEYOND);
+    let prefill = prefill_ms(unread as f64);
+    let queued = prefill_ms(f64::from(total.total_unread()));
+    let beyond = (queued + prefill - demand.pause.0 as f64 * PAUSE_FRACTION).clamp(0.0, prefill);
+    let interference =
+        others * (prefill * (1.0 - own) * PREFILL_WEIGHT + beyond * EXCESS_PREFILL_WEIGHT);
     if state.is_reserved {
-        // Long prompts leave it as streams come.
-        return harm;
+        // Long prompts stay away from a reserved endpoint as streams arrive, so its recent prefill
+        // is not counted.
+        return interference;
     }
-    let exposure = EXPOSURE / unseen(demand).powi(2);
-    harm + read_ms(f64::from(total.pressure)) * own * exposure
+    let exposure = EXPOSURE_WEIGHT / visibility_factor(demand).powi(2);
+    interference + prefill_ms(f64::from(total.pressure)) * own * exposure
 }
 
-/// Price of overfull memory; none for plain services.
-fn memory_ms(demand: &Demand<'_>, total: EndpointWork) -> f64 {
+/// Price of overfull memory; 0 for plain services.
+fn memory_price_ms(demand: &Demand<'_>, total: EndpointWork) -> f64 {
     if demand.engine.is_none() {
         return 0.0;
     }
     let held = u64::from(total.held) + demand.prompt_tokens() + demand.output_tokens;
-    let used = held as f64 / demand.memory_tokens().max(1) as f64;
-    if used > MEMORY_FULL {
-        MEMORY_MS * used
+    let used_fraction = held as f64 / demand.memory_tokens().max(1) as f64;
+    if used_fraction > FULL_MEMORY_FRACTION {
+        FULL_MEMORY_MS * used_fraction
     } else {
         0.0
     }
 }
 
-/// Price of another availability zone and of a fresh start.
-fn distance_ms(demand: &Demand<'_>, candidate: &Candidate<'_>) -> f64 {
+/// Price of another availability zone and of an endpoint that is warming up.
+fn zone_and_warm_up_price_ms(demand: &Demand<'_>, candidate: &Candidate<'_>) -> f64 {
     let listed = &candidate.endpoint.listed;
     let zone = if listed.zone == demand.zone {
         0.0
