--- a/src/direct/load.rs
+++ b/src/direct/load.rs
@@ -1,68 +1,71 @@
-//! The load of one endpoint: this entry's own requests there, exact and at once, and what peers
-//! and the endpoint itself told, which count less with age.
+//! Load of one endpoint: this entry's own requests there, which are known exactly and at once, and
+//! what other entries and the endpoint itself report, which expires with age.
 
 use std::f64::consts::LN_2;
 
 use crate::clock::Millis;
 use crate::direct::peers::{PeerId, ZoneId};
 
-/// Bands of urgency in which tokens to read are counted: 0, 1, and all others.
+/// Number of urgency bands in which tokens to be prefilled are counted: 0, 1, and all others.
 pub const BANDS: usize = 3;
-/// Least urgent number that an endpoint is told.
-const LEAST_URGENT: u8 = 9;
-/// Routes from this urgency on are told alike.
-const TOLD_ROUTES: u8 = 3;
-/// Urgencies of teams that are told apart within a route.
-const TOLD_TEAMS: u8 = 3;
-/// Pressure below which it is forgotten, in tokens: reading as many takes some milliseconds.
-const LEAST_PRESSURE: u32 = 256;
-/// Time for which an endpoint that turned a request away is taken to be full, unless a run of this entry ends there before.
-const FULL_WORD: Millis = Millis(250);
-/// Age after which the endpoint's own word on its load no longer counts.
-const REPORT_WORD: Millis = Millis(300);
-
-/// A whole delicate stream, in hundredths.
+/// Least urgent level that an endpoint can be sent.
+const LEAST_URGENT_LEVEL: u8 = 9;
+/// Route urgencies from this one on are sent to endpoints as one level.
+const ROUTE_LEVELS: u8 = 3;
+/// Number of team urgencies that are distinguished within a route urgency.
+const TEAM_LEVELS: u8 = 3;
+/// Pressure below which it is dropped, in tokens: prefilling that many takes a few milliseconds.
+const MIN_PRESSURE: u32 = 256;
+/// Time for which an endpoint that rejected a request is assumed to be full, unless a run of this
+/// entry ends there earlier.
+const FULL_DURATION: Millis = Millis(250);
+/// Age from which the endpoint's own report of its load is ignored.
+const MAX_REPORT_AGE: Millis = Millis(300);
+
+/// Sensitivity of one fully latency-sensitive stream, in hundredths.
 pub const FULL_STREAM: u32 = 100;
 
-/// Delicate streams from hundredths.
+/// Number of fully latency-sensitive streams that a sensitivity in hundredths amounts to.
 pub fn stream_equivalents(hundredths: u32) -> f64 {
     f64::from(hundredths) / f64::from(FULL_STREAM)
 }
 
-/// Band of a priority.
+/// Urgency band of a priority.
 pub fn band(priority: u8) -> usize {
     usize::from(priority).min(BANDS - 1)
 }
 
-/// Urgency that an endpoint is told, 0 to 9, of a request on a route of urgency `route` whose own, by its team, is `own`.
+/// Urgency level sent to an endpoint, from 0 to 9, for a request with the urgency `own` of its team
+/// on a route of urgency `route`.
 ///
-/// The kind of request goes first. RemoteWork the team's urgency alone, endpoints preempted 31 to 223 requests in one burst while
-/// less urgent kinds ran on there; told both, the route first, none in eight plays.
+/// The route's urgency takes precedence. When endpoints were sent the team's urgency alone, they
+/// preempted 31 to 223 requests in one burst while less urgent kinds kept running; with both, route
+/// first, they preempted none in eight runs.
 pub fn urgency_at_endpoint(route: u8, own: u8) -> u8 {
-    let of_route = route.min(TOLD_ROUTES) * TOLD_TEAMS;
-    (of_route + own.min(TOLD_TEAMS - 1)).min(LEAST_URGENT)
+    let of_route = route.min(ROUTE_LEVELS) * TEAM_LEVELS;
+    (of_route + own.min(TEAM_LEVELS - 1)).min(LEAST_URGENT_LEVEL)
 }
 
-/// Work of one entry at one endpoint.
+/// Outstanding work at one endpoint: of one entry, of an availability zone or of all entries.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct EndpointWork {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// Prompt tokens still to be read, by band.
+    /// Prompt tokens still to be prefilled, by urgency band.
     pub unread: [u32; BANDS],
-    /// Tokens of memory that the requests hold or will hold.
+    /// Memory that the requests use or will use, in tokens.
     pub held: u32,
-    /// Streams that suffer when prompts are read beside them, in hundredths: each counts by how
-    /// tight its pauses are.
+    /// Sum of the streams' sensitivity to prefill at the same engine, in hundredths: 100 for each
+    /// stream with the shortest allowed pause, less for others.
     #[serde(rename = "delicate")]
     pub pause_sensitivity: u32,
-    /// Prompt tokens of coarse requests sent lately; half of them is forgotten after
-    /// [`PRESSURE_HALF_LIFE_MS`].
+    /// Prompt tokens of recently sent requests that are not latency-sensitive, decaying with a
+    /// half-life of [`PRESSURE_HALF_LIFE_MS`].
     pub pressure: u32,
 }
 
 impl EndpointWork {
-    /// Nothing is under way; only pressure may be left.
+    /// Whether nothing is outstanding; pressure may remain.
     pub fn is_idle(&self) -> bool {
         let pressure = self.pressure;
         *self
@@ -72,18 +75,18 @@
             }
     }
 
-    /// Prompt tokens still to be read, of all bands.
+    /// Prompt tokens still to be prefilled, of all bands.
     pub fn total_unread(&self) -> u32 {
         self.unread.iter().fold(0, |sum, n| sum.saturating_add(*n))
     }
 
-    /// Prompt tokens of coarse requests that are read in a millisecond: where the load is steady,
-    /// as many as are forgotten in one.
+    /// Prompt tokens per millisecond that are prefilled for requests that are not
+    /// latency-sensitive: under constant load, the rate at which the pressure decays.
     pub fn prefill_tokens_per_ms(&self) -> f64 {
         f64::from(self.pressure) * LN_2 / PRESSURE_HALF_LIFE_MS
     }
 
-    /// The sum of both; at its largest where that does not fit.
+    /// The sum of both, saturating at the largest value.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         let mut unread = self.unread;
@@ -102,89 +105,90 @@
     }
 }
 
-/// Who told of work at an endpoint.
+/// Who reported work at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadSource {
-    /// A peer, of its own.
+    /// A peer, about its own work.
     Peer(PeerId),
-    /// Some entry of another availability zone, of all entries there.
+    /// An entry of another availability zone, about the work of all entries there.
     Zone(ZoneId),
 }
 
-/// What was told of work at an endpoint.
+/// Work at an endpoint that one source reported.
 #[derive(Debug, Clone, Copy)]
 struct RemoteWork {
-    teller: LoadSource,
-    /// When it was told.
+    source: LoadSource,
+    /// When it was reported.
     at: Millis,
-    /// Until when it counts.
-    until: Millis,
+    /// When the report expires.
+    valid_until: Millis,
     work: EndpointWork,
 }
 
-/// What one request adds to an endpoint's load.
+/// Load that one request adds to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Footprint {
-    /// Band of its urgency.
+    /// Urgency band of the request; 0 is the most urgent.
     pub band: usize,
-    /// Prompt tokens to read.
+    /// Prompt tokens to be prefilled.
     pub unread: u32,
-    /// Tokens of memory.
+    /// Memory that it uses, in tokens.
     pub held: u32,
-    /// How much the stream suffers when prompts are read beside it, in hundredths.
+    /// How much its stream is delayed by prefill at the same engine, in hundredths; see
+    /// [`FULL_STREAM`].
     pub pause_sensitivity: u32,
 }
 
-/// What an endpoint told of itself in an answer.
+/// Load that an endpoint reports of itself in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointReport {
-    /// Requests that it works on.
+    /// Requests that it is running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are queued there.
     pub waiting: u32,
-    /// Requests that it can work on.
+    /// Requests that it can run at the same time.
     pub slots: u32,
 }
 
-/// Time after which half of the pressure is forgotten, in ms: some lengths of an urgent stream.
+/// Half-life of the pressure, in ms: a few times the duration of an urgent stream.
 const PRESSURE_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// The load of one endpoint.
+/// What one entry knows of the load of one endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointLoad {
-    /// This entry's own work, but for its pressure.
+    /// This entry's own work, except for its pressure.
     own: EndpointWork,
     /// [`EndpointWork::pressure`] of this entry as it was at `pressure_at`.
     pressure: f64,
     pressure_at: Millis,
-    /// What others told.
+    /// Latest valid or expired report of each other source.
     remote: Vec<RemoteWork>,
-    /// What the endpoint told last, and when.
+    /// The endpoint's latest report, and when it came.
     report: Option<(Millis, EndpointReport)>,
-    /// Until when it is taken to be full, since it turned a request away.
+    /// Until when the endpoint is assumed to be full, because it rejected a request.
     full_until: Millis,
 }
 
 impl EndpointLoad {
-    /// A request is sent there.
+    /// Adds a request that is sent to the endpoint.
     pub fn begin(&mut self, footprint: Footprint, now: Millis) {
         self.own.running += 1;
         let unread = &mut self.own.unread[footprint.band];
         *unread = unread.saturating_add(footprint.unread);
         self.own.held = self.own.held.saturating_add(footprint.held);
         self.own.pause_sensitivity += footprint.pause_sensitivity;
-        let coarse = 1.0 - stream_equivalents(footprint.pause_sensitivity.min(FULL_STREAM));
-        self.pressure = self.pressure_now(now) + f64::from(footprint.unread) * coarse;
+        let insensitive = 1.0 - stream_equivalents(footprint.pause_sensitivity.min(FULL_STREAM));
+        self.pressure = self.current_pressure(now) + f64::from(footprint.unread) * insensitive;
         self.pressure_at = now;
     }
 
-    /// The prompt of a request has been read.
+    /// Removes the prompt tokens of a request that the endpoint has prefilled.
     pub fn read(&mut self, footprint: Footprint) {
         let unread = &mut self.own.unread[footprint.band];
         *unread = unread.saturating_sub(footprint.unread);
     }
 
-    /// A request ended.
+    /// Removes a request that ended.
     pub fn end(&mut self, footprint: Footprint) {
         self.own.running = self.own.running.saturating_sub(1);
         self.own.held = self.own.held.saturating_sub(footprint.held);
@@ -194,109 +198,123 @@
             .saturating_sub(footprint.pause_sensitivity);
     }
 
-    /// Work there was told; it counts for `lasts` unless it is told anew.
+    /// Replaces what `source` reported of its work there; the report expires after `ttl`.
     pub fn record_remote(
         &mut self,
-        teller: LoadSource,
+        source: LoadSource,
         work: EndpointWork,
-        lasts: Millis,
+        ttl: Millis,
         now: Millis,
     ) {
-        self.remote.retain(|told| told.teller != teller);
+        self.remote.retain(|reported| reported.source != source);
         self.remote.push(RemoteWork {
-            teller,
+            source,
             at: now,
-            until: now + lasts,
+            valid_until: now + ttl,
             work,
         });
     }
 
-    /// Nothing is under way there by the newest word of a teller: only the pressure of what was is left.
-    pub fn record_remote_idle(&mut self, teller: LoadSource, now: Millis) {
-        let Some(at) = self.remote.iter().position(|told| told.teller == teller) else {
+    /// Records that `source` has nothing outstanding there any more, according to its latest
+    /// report; only the decayed pressure remains.
+    pub fn record_remote_idle(&mut self, source: LoadSource, now: Millis) {
+        let Some(at) = self
+            .remote
+            .iter()
+            .position(|reported| reported.source == source)
+        else {
             return;
         };
-        let told = &mut self.remote[at];
-        let pressure = fade(f64::from(told.work.pressure), now - told.at) as u32;
-        if pressure < LEAST_PRESSURE {
+        let reported = &mut self.remote[at];
+        let pressure = decay(f64::from(reported.work.pressure), now - reported.at) as u32;
+        if pressure < MIN_PRESSURE {
             self.remote.swap_remove(at);
             return;
         }
-        told.work = EndpointWork {
+        reported.work = EndpointWork {
             pressure,
             ..EndpointWork::default()
         };
-        told.until = told.until + (now - told.at);
-        told.at = now;
+        reported.valid_until = reported.valid_until + (now - reported.at);
+        reported.at = now;
     }
 
-    /// The endpoint told its load.
+    /// Records the endpoint's report of its own load.
     pub fn record_report(&mut self, report: EndpointReport, now: Millis) {
         self.report = Some((now, report));
     }
 
-    /// The endpoint turned a request away for want of room.
+    /// Marks the endpoint as full for a short time, since it rejected a request for lack of
+    /// capacity.
     pub fn mark_full(&mut self, now: Millis) {
-        self.full_until = now + FULL_WORD;
+        self.full_until = now + FULL_DURATION;
     }
 
-    /// A run of this entry there ended, so there is room again.
+    /// Ends that mark: a run of this entry ended there, so the endpoint has capacity again.
     pub fn clear_full(&mut self) {
         self.full_until = Millis(0);
     }
 
-    /// Whether it is taken to be full by its own word. It refuses at once, so by the count of requests it looks better than
-    /// endpoints that work.
+    /// Whether the endpoint is assumed to be full because it rejected a request. It rejects
+    /// immediately, so counted by its requests it looks less loaded than endpoints that work.
     pub fn is_full(&self, now: Millis) -> bool {
         now < self.full_until
     }
 
-    /// This entry's own work there.
+    /// This entry's own work at the endpoint.
     pub fn own(&self, now: Millis) -> EndpointWork {
         EndpointWork {
-            pressure: self.pressure_now(now) as u32,
+            pressure: self.current_pressure(now) as u32,
             ..self.own
         }
     }
 
-    /// The pressure of this entry's requests, as far as it is not forgotten.
-    fn pressure_now(&self, now: Millis) -> f64 {
-        fade(self.pressure, now - self.pressure_at)
+    /// The decayed pressure of this entry's requests, in tokens.
+    fn current_pressure(&self, now: Millis) -> f64 {
+        decay(self.pressure, now - self.pressure_at)
     }
 
-    /// Work of all entries, as far as known.
+    /// Work of all entries, as far as known here.
     pub fn total(&self, now: Millis) -> EndpointWork {
-        let fresh = self.remote.iter().filter(|told| now < told.until);
-        fresh.fold(self.own(now), |sum, told| sum.plus(told.work))
+        let valid = self
+            .remote
+            .iter()
+            .filter(|reported| now < reported.valid_until);
+        valid.fold(self.own(now), |sum, reported| sum.plus(reported.work))
     }
 
-    /// Work of this entry and of the peers that told theirs one by one.
+    /// Work of this entry and of the peers that report their own work, without the totals reported
+    /// for other availability zones.
     pub fn zone_total(&self, now: Millis) -> EndpointWork {
-        let fresh = self.remote.iter().filter(|told| now < told.until);
-        let peers = fresh.filter(|told| matches!(told.teller, LoadSource::Peer(_)));
-        peers.fold(self.own(now), |sum, told| sum.plus(told.work))
+        let valid = self
+            .remote
+            .iter()
+            .filter(|reported| now < reported.valid_until);
+        let peers = valid.filter(|reported| matches!(reported.source, LoadSource::Peer(_)));
+        peers.fold(self.own(now), |sum, reported| sum.plus(reported.work))
     }
 
-    /// Requests that the endpoint works on or that wait there: as far as entries know, or by its own word where
-    /// that is fresh and tells of more.
+    /// Requests that are running or queued at the endpoint: the larger of the entries' count and
+    /// the endpoint's own report, if that is recent.
     pub fn occupancy(&self, now: Millis) -> u32 {
-        let told = match self.report {
-            Some((at, report)) if now - at < REPORT_WORD => report.running + report.waiting,
+        let reported = match self.report {
+            Some((at, report)) if now - at < MAX_REPORT_AGE => report.running + report.waiting,
             _ => 0,
         };
-        self.total(now).running.max(told)
+        self.total(now).running.max(reported)
     }
 
-    /// Requests that wait at the endpoint by its own word, if that is fresh.
+    /// Requests that are queued at the endpoint according to its own report; 0 if there is no
+    /// recent one.
     pub fn waiting(&self, now: Millis) -> u32 {
         match self.report {
-            Some((at, report)) if now - at < REPORT_WORD => report.waiting,
+            Some((at, report)) if now - at < MAX_REPORT_AGE => report.waiting,
             _ => 0,
         }
     }
 }
 
-/// What is left of a pressure after a time.
-fn fade(pressure: f64, age: Millis) -> f64 {
+/// Remaining pressure after a time of `age`.
+fn decay(pressure: f64, age: Millis) -> f64 {
     pressure * 0.5_f64.powf(age.0 as f64 / PRESSURE_HALF_LIFE_MS)
 }
