--- a/src/direct/turnover.rs
+++ b/src/direct/turnover.rs
@@ -1,142 +1,151 @@
-//! Requests of this entry that came, began and ended lately at one pool. What other entries did in the time for which
-//! it stays unseen here is taken to be alike.
+//! Recent requests of this entry for one pool: arrivals, starts, ends, refusals and rejections.
+//! Other entries are assumed to have done the same within the time for which their choices are not
+//! visible here.
 
 use std::collections::VecDeque;
 
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
 
-/// Time for which they are remembered: others' choices stay unseen for less.
-const REMEMBERED: Millis = Millis(2_000);
+/// Time for which events are remembered; other entries' choices become visible in less.
+const WINDOW: Millis = Millis(2_000);
 
-/// Time for which requests of a band count as seen: room is left for them between two of their bursts.
-const SEEN: Millis = Millis(60_000);
-/// Fewest requests of which a part is told, so that one of few is not taken for most.
-const LEAST_SENT: usize = 10;
+/// Time for which a band counts as active after its last request: slots stay reserved for it
+/// between two of its bursts.
+const ACTIVE_BAND_TIME: Millis = Millis(60_000);
+/// Smallest number of requests that a fraction is computed from, so that one of a few does not
+/// count as most of them.
+const MIN_SAMPLE: usize = 10;
 
-/// Requests of this entry that came, began and ended lately.
+/// Recent requests of this entry for one pool.
 #[derive(Debug, Clone, Default)]
 pub struct PoolActivity {
-    /// When requests of each band of urgency were last seen, here or at peers.
-    seen: [Option<Millis>; BANDS],
-    /// Those that leave room for more urgent ones, by band.
+    /// When requests of each urgency band were last seen, here or at peers.
+    last_active: [Option<Millis>; BANDS],
+    /// Arrivals while a more urgent band was active, by band: these leave slots free for it.
     yielding_arrivals: [VecDeque<Millis>; BANDS],
     started: VecDeque<Millis>,
     ended: VecDeque<Millis>,
-    turned_away: VecDeque<Millis>,
-    /// All that came, by band.
-    came: [VecDeque<Millis>; BANDS],
-    /// Those of them that got nothing, by band.
-    nothing: [VecDeque<Millis>; BANDS],
+    rejected: VecDeque<Millis>,
+    /// All arrivals, by band.
+    arrivals: [VecDeque<Millis>; BANDS],
+    /// Arrivals that were refused for lack of capacity, by band.
+    refused: [VecDeque<Millis>; BANDS],
 }
 
 impl PoolActivity {
-    /// A request of a band comes.
+    /// Records the arrival of a request of a band.
     pub fn record_arrival(&mut self, band: usize, now: Millis) {
         self.record_active_band(band, now);
-        note(&mut self.came[band], now);
+        push_time(&mut self.arrivals[band], now);
         if self.more_urgent_bands(band, now) > 0 {
-            note(&mut self.yielding_arrivals[band], now);
+            push_time(&mut self.yielding_arrivals[band], now);
         }
     }
 
-    /// Whether less urgent requests than those of a band come in number, so that these are the ones to leave room: at least
-    /// half as many within [`REMEMBERED`].
+    /// Whether less urgent requests than those of `band` arrive in significant number, at least
+    /// half as many within [`WINDOW`], so that they are the ones to leave slots free.
     pub fn has_less_urgent(&self, band: usize, now: Millis) -> bool {
-        let since = now - REMEMBERED;
-        let came = |of: &VecDeque<Millis>| count(of, since);
-        let less_urgent: usize = self.came[band + 1..].iter().map(came).sum();
-        less_urgent > 0 && less_urgent * 2 >= came(&self.came[band])
+        let since = now - WINDOW;
+        let arrivals = |of: &VecDeque<Millis>| count_since(of, since);
+        let less_urgent: usize = self.arrivals[band + 1..].iter().map(arrivals).sum();
+        less_urgent > 0 && less_urgent * 2 >= arrivals(&self.arrivals[band])
     }
 
-    /// Requests of a band are under way, here or at peers.
+    /// Records that requests of a band are running or queued, here or at peers.
     pub fn record_active_band(&mut self, band: usize, now: Millis) {
-        self.seen[band] = Some(now);
+        self.last_active[band] = Some(now);
     }
 
-    /// Bands more urgent than one of which requests were seen lately.
+    /// Number of bands more urgent than `band` that were active lately.
     pub fn more_urgent_bands(&self, band: usize, now: Millis) -> usize {
-        let is_recent = |at: &&Option<Millis>| at.is_some_and(|at| now < at + SEEN);
-        self.seen[..band].iter().filter(is_recent).count()
+        let is_recent = |at: &&Option<Millis>| at.is_some_and(|at| now < at + ACTIVE_BAND_TIME);
+        self.last_active[..band].iter().filter(is_recent).count()
     }
 
-    /// A request begins at an endpoint.
+    /// Records that a request was started at an endpoint.
     pub fn record_start(&mut self, now: Millis) {
-        note(&mut self.started, now);
+        push_time(&mut self.started, now);
     }
 
-    /// A request at an endpoint ends.
+    /// Records that a request at an endpoint ended.
     pub fn record_end(&mut self, now: Millis) {
-        note(&mut self.ended, now);
+        push_time(&mut self.ended, now);
     }
 
-    /// A request of a band gets nothing for want of room.
+    /// Records that a request of a band was refused for lack of capacity.
     pub fn record_refusal(&mut self, band: usize, now: Millis) {
-        note(&mut self.nothing[band], now);
+        push_time(&mut self.refused[band], now);
     }
 
-    /// Largest part of the requests of a band more urgent than one that got nothing within [`REMEMBERED`].
+    /// Largest fraction of the requests of any band more urgent than `band` that were refused
+    /// within [`WINDOW`].
     pub fn refused_fraction(&self, band: usize, now: Millis) -> f64 {
-        let since = now - REMEMBERED;
+        let since = now - WINDOW;
         let part = |band: usize| {
-            let came = count(&self.came[band], since).max(LEAST_SENT);
-            count(&self.nothing[band], since) as f64 / came as f64
+            let arrivals = count_since(&self.arrivals[band], since).max(MIN_SAMPLE);
+            count_since(&self.refused[band], since) as f64 / arrivals as f64
         };
         (0..band).map(part).fold(0.0, f64::max)
     }
 
-    /// An endpoint turned a request away for want of room.
+    /// Records that an endpoint rejected a request for lack of capacity.
     pub fn record_rejection(&mut self, now: Millis) {
-        note(&mut self.turned_away, now);
+        push_time(&mut self.rejected, now);
     }
 
+    /// Fraction of the requests sent within [`WINDOW`] that endpoints rejected.
     fn rejected_fraction(&self, now: Millis) -> f64 {
-        let since = now - REMEMBERED;
-        let sent = count(&self.started, since).max(LEAST_SENT);
-        count(&self.turned_away, since) as f64 / sent as f64
+        let since = now - WINDOW;
+        let sent = count_since(&self.started, since).max(MIN_SAMPLE);
+        count_since(&self.rejected, since) as f64 / sent as f64
     }
 
-    /// What happened in the time for which others' choices stay unseen, for requests of a band.
+    /// Activity within the visibility delay of other entries' choices, for a request of `band`.
     pub fn recent(&self, band: usize, visibility_delay: Millis, now: Millis) -> RecentActivity {
         let since = now - visibility_delay;
         let more_urgent_arrivals = self.yielding_arrivals[..band].iter();
         RecentActivity {
             more_urgent_arrivals: more_urgent_arrivals
-                .map(|yielding_arrivals| count(yielding_arrivals, since))
+                .map(|yielding_arrivals| count_since(yielding_arrivals, since))
                 .sum(),
-            yielding_arrivals: count(&self.yielding_arrivals[band], since),
-            started: count(&self.started, since),
-            ended: count(&self.ended, since),
+            yielding_arrivals: count_since(&self.yielding_arrivals[band], since),
+            started: count_since(&self.started, since),
+            ended: count_since(&self.ended, since),
             rejected_fraction: self.rejected_fraction(now),
             refused_fraction: self.refused_fraction(band, now),
         }
     }
 }
 
-/// Requests of one entry in a short time.
+/// Activity of one entry within a short time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RecentActivity {
-    /// More urgent ones that came and leave room for others themselves.
+    /// Arrivals of more urgent bands that leave slots free for even more urgent ones.
     pub more_urgent_arrivals: usize,
-    /// Those of the band that came and leave room for more urgent ones.
+    /// Arrivals of the band that leave slots free for more urgent ones.
     pub yielding_arrivals: usize,
-    /// Those that began at an endpoint.
+    /// Requests that were started at an endpoint.
     pub started: usize,
-    /// Those that ended there.
+    /// Requests that ended there.
     pub ended: usize,
-    /// Part of those sent within [`REMEMBERED`] that endpoints turned away for want of room.
+    /// Fraction of the requests sent within [`WINDOW`] that endpoints rejected for lack of
+    /// capacity.
     pub rejected_fraction: f64,
-    /// Largest part of the requests of a more urgent band that got nothing within [`REMEMBERED`].
+    /// Largest fraction of the requests of any more urgent band that were refused within
+    /// [`WINDOW`].
     pub refused_fraction: f64,
 }
 
-fn note(times: &mut VecDeque<Millis>, now: Millis) {
-    let is_old = |at: &&Millis| **at + REMEMBERED < now;
+/// Appends `now` and drops times that are older than [`WINDOW`].
+fn push_time(times: &mut VecDeque<Millis>, now: Millis) {
+    let is_old = |at: &&Millis| **at + WINDOW < now;
     let forgotten = times.iter().take_while(is_old).count();
     times.drain(..forgotten);
     times.push_back(now);
 }
 
-fn count(times: &VecDeque<Millis>, since: Millis) -> usize {
+/// Number of times since `since`, inclusive.
+fn count_since(times: &VecDeque<Millis>, since: Millis) -> usize {
     times.len() - times.partition_point(|at| *at < since)
 }
