--- a/src/direct/moves.rs
+++ b/src/direct/moves.rs
@@ -1,8 +1,9 @@
-//! Where the tokens of a prompt come from at an endpoint: its own memory, another endpoint's, or the
-//! prompt itself.
+//! Sources of a prompt's tokens at an endpoint: the endpoint's own cache, the cache of another
+//! endpoint, or prefill.
 //!
-//! Moving kept parts takes a small part of the time of reading them, so any endpoint may serve a prompt whose
-//! parts are kept somewhere, also one that others don't crowd in a burst.
+//! Transferring a cached prefix takes a small fraction of the time to prefill it. So any endpoint
+//! can serve a prompt whose prefix is cached somewhere, including one that is not crowded in a
+//! burst.
 
 use std::cmp::Reverse;
 
@@ -11,24 +12,24 @@
 use crate::direct::directory::EndpointKey;
 use crate::direct::health::Grade;
 
-/// Time to begin a move, in ms: a connection between two engines and the request on it.
-const SETUP_MS: f64 = 4.0;
-/// Fewest tokens that are worth a move: reading them takes about as long as beginning one.
-const LEAST_TOKENS: u64 = 256;
+/// Time to start a transfer, in ms: connecting two engines and sending the request.
+const TRANSFER_SETUP_MS: f64 = 4.0;
+/// Smallest transfer, in tokens: prefilling fewer takes about as long as starting a transfer.
+const MIN_TRANSFER_TOKENS: u64 = 256;
 
-/// Where the tokens of a prompt come from at one endpoint.
+/// How much of a prompt's prefix an endpoint can reuse instead of prefilling it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PrefixReuse {
-    /// Tokens that the endpoint is taken to keep.
+    /// Tokens that the endpoint is assumed to have cached.
     pub cached: u64,
-    /// Tokens that are moved there.
+    /// Tokens that are transferred to it, in addition.
     pub moved: u64,
-    /// From where; `None` when nothing is moved.
+    /// Endpoint that they are transferred from; `None` if nothing is transferred.
     pub from: Option<EndpointKey>,
 }
 
 impl PrefixReuse {
-    /// Nothing is moved.
+    /// Reuse of cached tokens alone, without a transfer.
     pub fn cached(cached: u64) -> Self {
         Self {
             cached,
@@ -36,57 +37,59 @@
         }
     }
 
-    /// Tokens that need not be read.
-    pub fn spared(&self) -> u64 {
+    /// Tokens that need no prefill.
+    pub fn reused_tokens(&self) -> u64 {
         self.cached + self.moved
     }
 
-    /// Time that the move takes, in ms.
-    pub fn move_ms(&self, demand: &Demand<'_>) -> f64 {
-        let shape = demand.engine.and_then(|engine| engine.moves);
-        match (shape, self.moved) {
-            (Some(shape), 1..) => SETUP_MS + shape.transfer_ms(self.moved),
+    /// Time that the transfer takes, in ms; 0 without one.
+    pub fn transfer_ms(&self, demand: &Demand<'_>) -> f64 {
+        let transfer = demand.engine.and_then(|engine| engine.moves);
+        match (transfer, self.moved) {
+            (Some(transfer), 1..) => TRANSFER_SETUP_MS + transfer.transfer_ms(self.moved),
             _ => 0.0,
         }
     }
 }
 
-/// The endpoints from which parts of one prompt can be taken: the best, and the next best for when the
-/// best is itself the target.
+/// Endpoints from which the prefix of one prompt can be transferred: the best one, and the second
+/// best for the case that the best is itself the target.
 ///
-/// Only an endpoint that is well gives: one that fails or is silent would hold the request up.
+/// Only healthy endpoints are sources: one that fails or does not answer would delay the request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sources {
     best: Option<Source>,
-    next: Option<Source>,
+    second_best: Option<Source>,
 }
 
-/// An endpoint that has read the head of a prompt.
+/// An endpoint that has prefilled a prefix of the prompt.
 #[derive(Debug, Clone, Copy)]
 struct Source {
     key: EndpointKey,
-    /// Tokens of the prompt that it has read.
+    /// Tokens of the prompt that it has prefilled.
     transferable_tokens: u64,
-    /// Prompt tokens that it still has to read; the least busy gives first.
+    /// Prompt tokens that it still has to prefill; the least busy of equal sources is preferred.
     unread: u32,
-    /// Its place among those that are as good: at random, so that none of them becomes a bottleneck.
+    /// Random tie-breaker, so that none of several equal sources becomes a bottleneck.
     draw: u64,
 }
 
 impl Sources {
-    /// The sources for a prompt among all endpoints of its pool; none where memory can't be moved.
-    pub fn find(demand: &Demand<'_>, all: &[CandidateState<'_>], now: Millis) -> Self {
+    /// Finds the sources for a prompt among all endpoints of its pool; none if the pool's engines
+    /// don't support transfers.
+    pub fn find(demand: &Demand<'_>, states: &[CandidateState<'_>], now: Millis) -> Self {
         let mut found = Self::default();
         if demand.engine.and_then(|engine| engine.moves).is_none() {
             return found;
         }
-        for state in all
+        for state in states
             .iter()
-            .filter(|state| state.transferable_tokens >= LEAST_TOKENS)
+            .filter(|state| state.transferable_tokens >= MIN_TRANSFER_TOKENS)
         {
-            // One that has named a limit is in need: what is taken from it would count as well.
-            let gives = !state.candidate.is_limited;
-            if gives && state.candidate.record.grade(now) == Grade::Good {
+            // An endpoint that has announced a rate limit is short of capacity, and a transfer from
+            // it would count against that limit as well.
+            let may_serve = !state.candidate.is_limited;
+            if may_serve && state.candidate.record.grade(now) == Grade::Good {
                 found.add(Source {
                     key: state.candidate.key,
                     transferable_tokens: state.transferable_tokens,
@@ -98,14 +101,15 @@
         found
     }
 
-    /// What `target` may take from another endpoint, if that is worth a move.
+    /// Reuse at `target` with a transfer from another endpoint; `None` if there is no source or the
+    /// transfer would be too small.
     pub fn reuse(&self, target: &CandidateState<'_>) -> Option<PrefixReuse> {
         let is_other = |source: &Source| source.key != target.candidate.key;
-        let source = self.best.filter(is_other).or(self.next)?;
+        let source = self.best.filter(is_other).or(self.second_best)?;
         let moved = source
             .transferable_tokens
             .saturating_sub(target.cached_tokens);
-        (moved >= LEAST_TOKENS).then_some(PrefixReuse {
+        (moved >= MIN_TRANSFER_TOKENS).then_some(PrefixReuse {
             cached: target.cached_tokens,
             moved,
             from: Some(source.key),
@@ -121,9 +125,12 @@
             )
         };
         if self.best.is_none_or(|best| rank(&source) > rank(&best)) {
-            self.next = self.best.replace(source);
-        } else if self.next.is_none_or(|next| rank(&source) > rank(&next)) {
-            self.next = Some(source);
+            self.second_best = self.best.replace(source);
+        } else if self
+            .second_best
+            .is_none_or(|second_best| rank(&source) > rank(&second_best))
+        {
+            self.second_best = Some(source);
         }
     }
 }
