--- a/src/direct/prefix.rs
+++ b/src/direct/prefix.rs
@@ -1,56 +1,60 @@
-//! What endpoints probably keep of prompts: parts that were sent there and have not given way.
+//! Estimate of the prompt prefixes that endpoints have cached: segments that were sent there and
+//! have probably not been evicted.
 //!
-//! Engines keep shared parts of prompts and let those go that were unused the longest. They tell
-//! of it late, so an entry keeps its own estimate: when a part was last used at an endpoint, by
-//! this entry or a peer, against how long it keeps unused parts at its present load.
+//! Engines cache shared segments of prompts and evict the least recently used ones. They report
+//! their caches late, so an entry compares the time at which a segment was last used at an
+//! endpoint, by itself or a peer, with the time for which that endpoint retains unused segments
+//! under its present load.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::direct::directory::EndpointKey;
 
-/// Parts remembered at most; beyond that all are forgotten, which costs some reading anew.
-const MOST_PARTS: usize = 40_000;
+/// Maximum number of remembered segments. Beyond it all are dropped, which costs some repeated
+/// prefill.
+const MAX_SEGMENTS: usize = 40_000;
 
-/// One part of a prompt; equal ids have equal text.
+/// One segment of a prompt; segments with equal ids have the same text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PromptSegment {
-    /// Identity.
+    /// Identifier of the segment's text.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u64,
 }
 
-/// A use of a part at an endpoint.
+/// Latest use of a segment at an endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Use {
+struct SegmentUse {
     endpoint: EndpointKey,
-    /// When it was sent there last.
+    /// When it was last sent there.
     at: Millis,
-    /// When it has been read there, by estimate until an answer began.
-    read_at: Millis,
+    /// When it has been prefilled there: an estimate until an answer begins.
+    prefilled_at: Millis,
 }
 
-/// Tokens at the head of a prompt that an endpoint keeps.
+/// Length of the prefix of a prompt that an endpoint has cached, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CachedPrefix {
-    /// Those that were sent there: it has read them, or will have before it reads what comes after.
+    /// Tokens that were sent there. It has prefilled them, or will have before it gets to a prompt
+    /// that is sent now.
     pub sent: u64,
-    /// Those that it has read.
+    /// Tokens that it has already prefilled.
     pub prefilled: u64,
 }
 
-/// The estimate for all endpoints.
+/// The estimate for all segments and endpoints.
 #[derive(Debug, Default)]
 pub struct PrefixMap {
-    /// The last use of each part at each endpoint, by the part's id; sorted by endpoint, since a part
-    /// may be kept at a thousand of them.
-    uses: HashMap<u64, Vec<Use>>,
+    /// Latest use of each segment at each endpoint, by the segment's id. Sorted by endpoint,
+    /// because a segment may be cached at a thousand of them.
+    uses: HashMap<u64, Vec<SegmentUse>>,
 }
 
 impl PrefixMap {
-    /// Tokens at the head of a prompt that need not be read at an endpoint which keeps unused parts
-    /// since `kept_since`.
+    /// Prefix of a prompt that an endpoint has cached if it retains segments that were used at
+    /// `cached_since` or later.
     pub fn cached(
         &self,
         endpoint: EndpointKey,
@@ -60,7 +64,7 @@
     ) -> CachedPrefix {
         let mut cached = CachedPrefix::default();
         let mut tokens = 0;
-        // A part is only kept together with all before it, so the deepest one tells.
+        // A segment is cached only together with all those before it, so the deepest one decides.
         for part in parts {
             tokens += part.tokens;
             let Some(last) = self.last_use(endpoint, part.id) else {
@@ -68,7 +72,7 @@
             };
             if last.at >= kept_since {
                 cached.sent = tokens;
-                if last.read_at <= now {
+                if last.prefilled_at <= now {
                     cached.prefilled = tokens;
                 }
             }
@@ -76,12 +80,12 @@
         cached
     }
 
-    fn last_use(&self, endpoint: EndpointKey, part: u64) -> Option<&Use> {
+    fn last_use(&self, endpoint: EndpointKey, part: u64) -> Option<&SegmentUse> {
         let uses = self.uses.get(&part)?;
         position(uses, endpoint).ok().map(|at| &uses[at])
     }
 
-    /// An endpoint has read the parts that were sent to it.
+    /// Records that an endpoint has prefilled the segments that were sent to it.
     pub fn record_prefill(
         &mut self,
         endpoint: EndpointKey,
@@ -93,41 +97,44 @@
                 continue;
             };
             if let Ok(at) = position(uses, endpoint) {
-                uses[at].read_at = uses[at].read_at.min(now);
+                uses[at].prefilled_at = uses[at].prefilled_at.min(now);
             }
         }
     }
 
-    /// A prompt with these parts was sent to an endpoint, by this entry or a peer, which will have
-    /// read them at `read_at`.
+    /// Records that a prompt with these segments was sent to an endpoint, by this entry or a peer.
+    /// `prefilled_at` is the estimated time at which the endpoint will have prefilled them.
     pub fn record_use(
         &mut self,
         endpoint: EndpointKey,
         parts: impl Iterator<Item = u64>,
         now: Millis,
-        read_at: Millis,
+        prefilled_at: Millis,
     ) {
-        if self.uses.len() > MOST_PARTS {
+        if self.uses.len() > MAX_SEGMENTS {
             self.uses.clear();
         }
         for part in parts {
             let uses = self.uses.entry(part).or_default();
-            let newest = Use {
+            let latest = SegmentUse {
                 endpoint,
                 at: now,
-                read_at,
+                prefilled_at,
             };
             match position(uses, endpoint) {
                 Ok(at) => {
-                    let read_at = uses[at].read_at.min(read_at);
-                    uses[at] = Use { read_at, ..newest };
+                    let prefilled_at = uses[at].prefilled_at.min(prefilled_at);
+                    uses[at] = SegmentUse {
+                        prefilled_at,
+                        ..latest
+                    };
                 }
-                Err(at) => uses.insert(at, newest),
+                Err(at) => uses.insert(at, latest),
             }
         }
     }
 
-    /// An endpoint left; what it kept is gone.
+    /// Drops all uses at an endpoint that has left.
     pub fn forget(&mut self, endpoint: EndpointKey) {
         for uses in self.uses.values_mut() {
             uses.retain(|u| u.endpoint != endpoint);
@@ -136,7 +143,8 @@
     }
 }
 
-/// Position of an endpoint's use, or where it is to be inserted.
-fn position(uses: &[Use], endpoint: EndpointKey) -> Result<usize, usize> {
+/// Position of an endpoint's use in the sorted list: `Ok` if there is one, otherwise `Err` with the
+/// position at which to insert it.
+fn position(uses: &[SegmentUse], endpoint: EndpointKey) -> Result<usize, usize> {
     uses.binary_search_by_key(&endpoint, |u| u.endpoint)
 }
