--- a/src/direct/demand.rs
+++ b/src/direct/demand.rs
@@ -1,4 +1,5 @@
-//! What is to be placed, and what is known of an endpoint for it: the terms of a choice.
+//! Inputs to the choice of an endpoint: the request to be placed, and what is known of each
+//! candidate.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,104 +12,109 @@
 use crate::direct::room::RoomInputs;
 use crate::mix_bits::mix_bits;
 
-/// What is to be placed.
+/// The request to be placed, with the parameters of this entry and of the pool that bear on the
+/// choice.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand<'a> {
-    /// Band of urgency.
+    /// Urgency band; 0 is the most urgent.
     pub band: usize,
-    /// Parts of the prompt; empty for plain services.
+    /// Segments of the prompt, in order; empty for plain services.
     pub parts: &'a [PromptSegment],
-    /// Tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     pub output_tokens: u64,
-    /// Time within which the first event is in time.
+    /// Target time until the first event.
     pub target: Millis,
     /// Availability zone of this entry.
     pub zone: &'a str,
-    /// Size of an engine of the pool; `None` for plain services.
+    /// Capacity of an engine of the pool; `None` for plain services.
     pub engine: Option<EngineCapacity>,
-    /// How much the answer suffers when prompts are read beside it, in hundredths: 100 for the
-    /// stream with the tightest pauses.
+    /// How much the answer is delayed by prefill at the same engine, in hundredths: 100 for the
+    /// stream with the shortest allowed pause.
     pub pause_sensitivity: u32,
-    /// Tightest pause among the pool's streams; 0 where there are none.
+    /// Shortest allowed pause between events among the pool's streams; 0 if there are none.
     pub pause: Millis,
-    /// How long other entries' choices stay unseen here; 0 where there are none.
+    /// Mean time until other entries' choices become visible here; 0 if there are no other entries.
     pub visibility_delay: Millis,
-    /// What room at an endpoint is for.
+    /// Inputs to the number of slots that the request may use.
     pub room: RoomInputs,
-    /// A random number, so that entries that know the same don't all choose the same endpoint.
+    /// Random number, so that entries with the same knowledge don't all choose the same endpoint.
     pub draw: u64,
 }
 
 impl Demand<'_> {
-    /// Tokens of all parts of the prompt.
+    /// Tokens of the whole prompt.
     pub fn prompt_tokens(&self) -> u64 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of all parts but the last, which belongs to the request itself.
+    /// Tokens of all segments but the last, which belongs to this request alone.
     pub fn shared_tokens(&self) -> u64 {
         let count = self.parts.len().saturating_sub(1);
         self.parts[..count].iter().map(|part| part.tokens).sum()
     }
 
-    /// Weight of an endpoint, by the digest of its identity, as the home of the prompt's deepest
-    /// shared part: alike at all entries, and the endpoint with the greatest is the home. `None` where
-    /// nothing is shared.
+    /// Rendezvous hashing: weight of an endpoint, by the digest of its identity, as the home of the
+    /// prompt's deepest shared segment. All entries compute the same weights, and the endpoint with
+    /// the highest one is the home. `None` if the prompt has no shared segment.
     pub fn home_weight(&self, digest: u32) -> Option<u64> {
-        let last = self.parts.len().checked_sub(2)?;
-        Some(mix_bits(self.parts[last].id ^ mix_bits(u64::from(digest))))
+        let deepest_shared = self.parts.len().checked_sub(2)?;
+        Some(mix_bits(
+            self.parts[deepest_shared].id ^ mix_bits(u64::from(digest)),
+        ))
     }
 
-    /// The random number of one endpoint, by the digest of its identity.
+    /// Random number of this request for one endpoint, by the digest of its identity.
     pub fn draw_for(&self, digest: u32) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.draw, digest).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// A random number from 0 to 1 for the lot of one endpoint, another one than that of its price.
-    pub fn lot_draw(&self, digest: u32) -> f64 {
+    /// Random number from 0 to 1 for the lottery between endpoints, by the digest of an endpoint's
+    /// identity; independent of the one added to its price.
+    pub fn lottery_draw(&self, digest: u32) -> f64 {
         self.draw_for(!digest) as f64 / u64::MAX as f64
     }
 
-    /// Tokens of memory of an engine of the pool; 0 for plain services.
+    /// Memory of an engine of the pool, in tokens; 0 for plain services.
     pub fn memory_tokens(&self) -> u64 {
         self.engine.map_or(0, |engine| engine.memory_tokens)
     }
 }
 
-/// An endpoint with what is known of it.
+/// An endpoint that may be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its key.
+    /// Its key in the directory.
     pub key: EndpointKey,
-    /// Its entry in the directory.
+    /// Its record in the directory.
     pub endpoint: &'a Endpoint,
-    /// Its load.
+    /// Its load, as known to this entry.
     pub load: &'a EndpointLoad,
-    /// Its record.
+    /// Its health, as observed by this entry.
     pub record: &'a HealthRecord,
-    /// Whether it is taken to warm up.
+    /// Whether it is assumed to be warming up.
     pub is_warming: bool,
-    /// Whether it has named a limit.
+    /// Whether it has announced a rate limit.
     pub is_limited: bool,
 }
 
-/// An endpoint with what is known of it for one request.
+/// A candidate with what is known of it for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct CandidateState<'a> {
-    /// The endpoint.
+    /// The candidate.
     pub candidate: Candidate<'a>,
-    /// Its load from all entries, as far as known.
+    /// Its outstanding work from all entries, as far as known here.
     pub total: EndpointWork,
-    /// Tokens at the head of the prompt that it is known to keep, or will once it has read what was
-    /// sent to it.
+    /// Tokens of the prompt's prefix that it is assumed to have cached, including those that it
+    /// will have prefilled before it gets to this prompt.
     pub cached_tokens: u64,
-    /// Those of them that it has read, so that others can take them from it.
+    /// Those of them that it has already prefilled, so that another endpoint can fetch them from
+    /// it.
     pub transferable_tokens: u64,
-    /// Whether it is kept for delicate streams.
+    /// Whether it is reserved for latency-sensitive streams.
     pub is_reserved: bool,
-    /// Shared tokens of the prompt that no endpoint is known to keep, where this is their home; `None`
-    /// elsewhere.
+    /// If this endpoint is their home, the number of shared tokens of the prompt that no endpoint
+    /// is known to have cached; `None` otherwise.
     pub uncached_home_tokens: Option<u64>,
 }
