--- a/src/direct/resolve.rs
+++ b/src/direct/resolve.rs
@@ -1,5 +1,5 @@
-//! What a request is allowed: its route and team under the configuration in force, and whether
-//! that is known to be fresh enough to say so.
+//! Authorization of a request: finds its route and team in the configuration in force, and checks
+//! that this configuration is known to be recent enough for the answer.
 
 use crate::clock::Millis;
 use crate::direct::catalog::{Catalog, RouteKey};
@@ -7,14 +7,15 @@
 use crate::direct::freshness::Freshness;
 use crate::ids::TeamKey;
 
-/// What this process knows, with its age.
+/// The configuration that this process has, with the age of the proof that it is the newest.
 #[derive(Debug, Clone, Copy)]
 pub struct CatalogState<'a> {
-    /// The configuration in force; `None` before the first one.
+    /// Configuration in force; `None` before the first one was read.
     pub catalog: Option<&'a Catalog>,
     /// When it was last proven to be the newest.
     pub freshness: &'a Freshness,
-    /// Age of that proof up to which requests with a key may run; `None` for any.
+    /// Age that the proof must be below for requests with a key to run; `None` if any age is
+    /// accepted.
     pub max_key_proof_age: Option<Millis>,
 }
 
@@ -23,7 +24,7 @@
 pub struct Allowed {
     /// Its route.
     pub route: RouteKey,
-    /// Its team; `None` on public routes and where there are no teams.
+    /// Its team; `None` for public routes and if no teams are configured.
     pub team: Option<TeamKey>,
 }
 
@@ -33,29 +34,31 @@
 pub enum Denied {
     /// No configuration has been read yet.
     NoCatalog,
-    /// The configuration may be older than a request with a key allows.
+    /// The configuration may be too old for this decision.
     StaleCatalog,
-    /// No route for this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No key, or one that no team holds.
+    /// The request has no key, or one that belongs to no team.
     NoKey,
 }
 
 /// Finds the route and team of a request.
 ///
-/// A denial is only told when the configuration is fresh; otherwise it may be a newer one that
-/// allows the request.
+/// Returns an error if there is no configuration, no route matches, or the route needs a key that
+/// is missing or unknown. Such a denial is returned only while the configuration is proven to be
+/// recent; otherwise a newer one may allow the request, and the error is `StaleCatalog`. Requests
+/// for public routes run with a configuration of any age.
 pub fn resolve(
-    knowledge: CatalogState<'_>,
+    state: CatalogState<'_>,
     ask: &ParsedRequest,
     now: Millis,
 ) -> Result<Allowed, Denied> {
-    let catalog = knowledge.catalog.ok_or(Denied::NoCatalog)?;
-    let fresh = knowledge
+    let catalog = state.catalog.ok_or(Denied::NoCatalog)?;
+    let fresh = state
         .max_key_proof_age
-        .is_none_or(|bound| knowledge.freshness.is_younger_than(now, bound));
+        .is_none_or(|max_age| state.freshness.is_younger_than(now, max_age));
     let Some(route) = catalog.route(&ask.host, &ask.path) else {
-        return Err(when_fresh(fresh, Denied::NoRoute));
+        return Err(unless_stale(fresh, Denied::NoRoute));
     };
     if catalog.routes[route.0].public || catalog.teams.is_empty() {
         return Ok(Allowed { route, team: None });
@@ -73,7 +76,8 @@
     }
 }
 
-fn when_fresh(fresh: bool, denied: Denied) -> Denied {
+/// The given denial if the configuration is recent, otherwise `StaleCatalog`.
+fn unless_stale(fresh: bool, denied: Denied) -> Denied {
     if fresh {
         denied
     } else {
