--- a/src/direct/warmup.rs
+++ b/src/direct/warmup.rs
@@ -1,12 +1,13 @@
-//! Endpoints that warm up: how many requests one entry may send there.
+//! Rate limit for endpoints that are warming up.
 //!
-//! An endpoint that has just started, or lost what it had, breaks down when all entries rush to it; it
-//! looks idle to each of them. So its rate is shared out before anything is sent: each entry computes
-//! its own share by itself, from a hash and the largest fleet that it has seen. Nothing is told, so
-//! entries that don't see each other, or are cut off, keep the bound together as well.
+//! An endpoint that has just started, or lost its state, breaks down if all entries rush to it,
+//! because it looks idle to each of them. So its rate is divided among the entries before anything
+//! is sent: each computes its own share from a hash and the largest fleet size that it has seen.
+//! Entries need not communicate for this, so the bound also holds for entries that don't see each
+//! other or are cut off.
 //!
-//! Load pattern: a release, a lost zone or a crash under load, where some endpoints come back empty beside
-//! others that have a queue.
+//! It guards against releases, lost zones and crashes under load, where some endpoints come back
+//! empty next to others that have a queue.
 
 use std::collections::VecDeque;
 
@@ -15,97 +16,102 @@
 use crate::clock::Millis;
 use crate::direct::peers::PeerId;
 
-/// Part of the rate that endpoints bear while they warm up which all entries together are meant to use; the rest
-/// is left for entries that have seen less of the fleet than others.
-const USED_PART: f64 = 0.75;
-/// Standard deviations between the mean rate and the bound. Shares of fewer than one request a second are dealt by
-/// lot, so the number of entries that have one varies like a Poisson count; with 4.5 more than the bound
-/// allows have one at one endpoint of 30,000.
-const DEVIATIONS: f64 = 4.5;
-/// Entries that are assumed while fewer have been seen: after a start others are heard within some rounds.
-const UNSEEN_FLEET: usize = 64;
+/// Fraction of the rate that warming endpoints can take which all entries together are meant to
+/// use; the rest is for entries that have seen less of the fleet than others.
+const USED_FRACTION: f64 = 0.75;
+/// Number of standard deviations between the mean rate and the bound. Shares below one request per
+/// second are assigned at random, so the number of entries that have one is distributed like a
+/// Poisson count; with 4.5, it exceeds the bound at one endpoint in 30,000.
+const RATE_DEVIATIONS: f64 = 4.5;
+/// Fleet size assumed while fewer entries have been seen; after a start, the others are heard of
+/// within a few rounds.
+const ASSUMED_FLEET_SIZE: usize = 64;
 /// Time after its start in which an entry may not have heard of all others yet.
-const FIND_PEERS: Millis = Millis(1_500);
-/// Span over which requests are counted: a second, and what the way to the endpoint may shorten it by.
-const SPAN: Millis = Millis(1_100);
-/// Time after its warm-up over which entries, one by one, take an endpoint for like any other. It is idle and empty
-/// then: all at once would rush to it, and its most urgent streams come late.
+const PEER_DISCOVERY_TIME: Millis = Millis(1_500);
+/// Window over which requests are counted: one second, plus the amount by which network delays may
+/// compress it.
+const RATE_WINDOW: Millis = Millis(1_100);
+/// Time after an endpoint's warm-up over which entries, one by one, start to treat it as any other.
+/// It is idle and empty then: if all did so at once they would rush to it, and its most urgent
+/// streams would be late.
 const PHASE_IN: Millis = Millis(1_500);
-/// Sends that are remembered for one endpoint; a share is never larger.
-const MOST_SENDS: usize = 32;
+/// Number of sends that are remembered for one endpoint; a share is never larger.
+const MAX_SENDS: usize = 32;
 
 /// How the endpoints of a pool warm up.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct WarmUp {
-    /// Time that it takes.
+    /// Duration of the warm-up.
     pub time: Millis,
-    /// Requests a second that an endpoint bears meanwhile.
+    /// Requests per second that an endpoint can take meanwhile.
     pub per_s: f64,
 }
 
-/// The fleet as far as its size matters here.
+/// Largest number of serving entries that this entry has seen.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FleetSize {
-    most: usize,
+    largest_seen: usize,
 }
 
 impl FleetSize {
-    /// So many entries serve now, this one included.
+    /// Records the number of entries that serve now, including this one.
     pub fn observe(&mut self, entries: usize) {
-        self.most = self.most.max(entries);
+        self.largest_seen = self.largest_seen.max(entries);
     }
 
-    /// Entries that share an endpoint's rate, at an entry that runs for `age`: the most that were ever
-    /// seen, since those that are not seen now may only be cut off. An entry that `has_others` by its settings
-    /// and has heard of none, or may not have heard of all, assumes many.
+    /// Number of entries among which to divide an endpoint's rate, at an entry that has run for
+    /// `age`: the largest number ever seen, since entries that are not visible now may only be cut
+    /// off. If `has_others` (the settings name other entries) and this entry has heard of none, or
+    /// may not have heard of all yet, at least [`ASSUMED_FLEET_SIZE`] is assumed.
     pub fn sharers(&self, age: Millis, has_others: bool) -> usize {
-        if has_others && (age < FIND_PEERS || self.most <= 1) {
-            self.most.max(UNSEEN_FLEET)
+        if has_others && (age < PEER_DISCOVERY_TIME || self.largest_seen <= 1) {
+            self.largest_seen.max(ASSUMED_FLEET_SIZE)
         } else {
-            self.most.max(1)
+            self.largest_seen.max(1)
         }
     }
 }
 
-/// What operators allow beyond the rate that endpoints bear while they warm up.
+/// Excess that operators allow over the rate that endpoints can take while they warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Excess {
-    /// Requests in any second by those that an endpoint bears.
+    /// Factor on the rate that an endpoint can take, giving the requests allowed in any second.
     pub ratio: f64,
-    /// Requests in any second besides.
+    /// Additional requests allowed in any second.
     pub extra: f64,
 }
 
 impl WarmUp {
-    /// Requests a second that all entries together are meant to send to one endpoint.
+    /// Mean number of requests per second that all entries together are meant to send to one
+    /// endpoint.
     fn mean_rate(self, excess: Excess) -> f64 {
         let bound = self.per_s * excess.ratio + excess.extra;
-        let half = DEVIATIONS / 2.0;
-        // The mean m for which m + DEVIATIONS * sqrt(m) is the bound.
+        let half = RATE_DEVIATIONS / 2.0;
+        // The mean `m` for which `m + RATE_DEVIATIONS * sqrt(m)` equals the bound.
         let root = (half * half + bound.max(0.0)).sqrt() - half;
-        (root * root).min(self.per_s * USED_PART)
+        (root * root).min(self.per_s * USED_FRACTION)
     }
 }
 
-/// Requests a second that `entry`, one of `sharers`, may send to the endpoint with this digest while
-/// that warms up.
+/// Requests per second that `entry`, one of `sharers` entries, may send to the endpoint with this
+/// digest while it warms up; 0 if this entry has no share.
 pub fn share(warm_up: WarmUp, excess: Excess, sharers: usize, entry: PeerId, digest: u32) -> usize {
     let mean = warm_up.mean_rate(excess) / sharers.max(1) as f64;
     let whole = mean.floor();
-    let lot = lot(entry, digest);
-    let dealt = usize::from(lot < mean - whole);
-    (whole as usize + dealt).min(MOST_SENDS)
+    let uniform_hash = uniform_hash(entry, digest);
+    let extra_request = usize::from(uniform_hash < mean - whole);
+    (whole as usize + extra_request).min(MAX_SENDS)
 }
 
-/// Until when `entry` keeps to its share of an endpoint with this digest, which is warm at `warm_until`: another
-/// time for each entry.
+/// Time until which `entry` keeps to its share of the endpoint with this digest, which is warm at
+/// `warm_at`; it differs between entries.
 pub fn shared_until(warm_until: Millis, entry: PeerId, digest: u32) -> Millis {
-    let wait = PHASE_IN.0 as f64 * lot(entry, !digest);
-    warm_until + Millis(wait as u64)
+    let delay = PHASE_IN.0 as f64 * uniform_hash(entry, !digest);
+    warm_until + Millis(delay as u64)
 }
 
-/// A number from 0 to 1 that is another one for each entry and endpoint.
-fn lot(entry: PeerId, digest: u32) -> f64 {
+/// Hash of an entry and an endpoint, as a number from 0 to 1.
+fn uniform_hash(entry: PeerId, digest: u32) -> f64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&entry.0.to_be_bytes());
     hasher.update(&digest.to_be_bytes());
@@ -114,23 +120,23 @@
     u64::from_be_bytes(head) as f64 / u64::MAX as f64
 }
 
-/// Requests that this entry sent to one endpoint lately. All are counted, also those from before it was
-/// known to warm up.
+/// Times of this entry's recent requests to one endpoint. All requests are counted, including those
+/// sent before the endpoint was known to warm up.
 #[derive(Debug, Clone, Default)]
 pub struct RecentSends(VecDeque<Millis>);
 
 impl RecentSends {
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn note(&mut self, now: Millis) {
-        if self.0.len() == MOST_SENDS {
+        if self.0.len() == MAX_SENDS {
             self.0.pop_front();
         }
         self.0.push_back(now);
     }
 
-    /// Whether one more keeps within `share` requests in any second.
+    /// Whether one more request stays within `share` requests in any second.
     pub fn allows(&self, share: usize, now: Millis) -> bool {
-        let recent = self.0.iter().filter(|at| now < **at + SPAN);
-        recent.count() < share
+        let sends_in_window = self.0.iter().filter(|at| now < **at + RATE_WINDOW);
+        sends_in_window.count() < share
     }
 }
