--- a/src/direct/cordons.rs
+++ b/src/direct/cordons.rs
@@ -1,104 +1,108 @@
-//! Cordoned availability zones: operators ask that nothing new be sent to the endpoints of a zone, until
-//! they take that back.
+//! Cordoned availability zones: operators request that nothing new is sent to the endpoints of a
+//! zone until they end the cordon.
 //!
-//! What was taken back is remembered with its revision, so that an older word of a peer does not
-//! cordon the zone again.
+//! Ended cordons are remembered with their revision, so that outdated information from a peer does
+//! not cordon the zone again.
 
 use std::collections::HashMap;
 
 use crate::direct::listed::{Change, Cordon, Revision};
 
-/// Zones that are remembered at most; names beyond that are made up, since a fleet has a few dozen.
-const MOST_ZONES: usize = 1_000;
+/// Maximum number of remembered zones. A fleet has a few dozen, so names beyond this are invalid.
+const MAX_ZONES: usize = 1_000;
 
-/// What was said last of one zone.
+/// Latest known state of one zone.
 #[derive(Debug, Clone, Copy)]
-struct Word {
+struct ZoneState {
     revision: Revision,
     is_cordoned: bool,
 }
 
-/// All zones of which anything was said.
+/// All zones whose cordons were set or ended.
 #[derive(Debug, Default)]
 pub struct Cordons {
-    words: HashMap<String, Word>,
+    zones: HashMap<String, ZoneState>,
 }
 
 impl Cordons {
     /// Whether a zone is cordoned.
     pub fn has(&self, zone: &str) -> bool {
-        self.words.get(zone).is_some_and(|word| word.is_cordoned)
+        self.zones.get(zone).is_some_and(|state| state.is_cordoned)
     }
 
-    /// All zones that are cordoned.
+    /// Iterates over all active cordons.
     pub fn active(&self) -> impl Iterator<Item = Cordon> + '_ {
-        let held = self.words.iter().filter(|(_, word)| word.is_cordoned);
-        held.map(|(zone, word)| Cordon {
+        let cordoned = self.zones.iter().filter(|(_, state)| state.is_cordoned);
+        cordoned.map(|(zone, state)| Cordon {
             zone: zone.clone(),
-            revision: word.revision,
+            revision: state.revision,
         })
     }
 
-    /// A zone is cordoned, unless something newer is known.
+    /// Cordons a zone, unless something newer is known.
     pub fn cordon(&mut self, cordon: Cordon) {
-        self.say(cordon.zone, cordon.revision, true);
+        self.update(cordon.zone, cordon.revision, true);
     }
 
-    /// A cordon ended, unless something newer is known; true when it stood until now.
+    /// Ends a cordon, unless something newer is known; returns true if the zone was cordoned until
+    /// now.
     pub fn uncordon(&mut self, cordon: &Cordon) -> bool {
-        self.say(cordon.zone.clone(), cordon.revision, false)
+        self.update(cordon.zone.clone(), cordon.revision, false)
     }
 
-    /// Replaces all by the cordons that stood at `revision`; the zones whose cordon has ended.
+    /// Replaces all cordons by those that were active at `revision`; returns the zones whose cordon
+    /// ended by that.
     pub fn replace(&mut self, all: Vec<Cordon>, revision: Revision) -> Vec<String> {
         let ended = self.missing_from(&all, revision);
         for cordon in all {
             self.cordon(cordon);
         }
         for zone in &ended {
-            self.say(zone.clone(), revision, false);
+            self.update(zone.clone(), revision, false);
         }
         ended
     }
 
-    /// What the cordons that stood at `begun` change in a list that is complete up to `before`. Ends that
-    /// are known here already are among it, since peers that know the list alone may not have them.
+    /// Changes that lead from a list that is complete up to `before` to the cordons `all` that were
+    /// active at `begun`. They include ends of cordons that are already known here, since peers
+    /// that know only the list may not have them.
     pub fn changes_to(&self, all: &[Cordon], before: Revision, begun: Revision) -> Vec<Change> {
         let newer = all.iter().filter(|cordon| cordon.revision > before);
         let ending = self.missing_from(all, begun).into_iter();
         let ending = ending.map(|zone| (zone, begun));
-        let ended = self.words.iter().filter(|(_, word)| !word.is_cordoned);
-        let ended = ended.map(|(zone, word)| (zone.clone(), word.revision));
+        let ended = self.zones.iter().filter(|(_, state)| !state.is_cordoned);
+        let ended = ended.map(|(zone, state)| (zone.clone(), state.revision));
         let ended = ended.filter(|(_, revision)| *revision > before);
         let ends = ending.chain(ended);
         let ends = ends.map(|(zone, revision)| Change::Uncordoned(Cordon { zone, revision }));
         newer.cloned().map(Change::Cordoned).chain(ends).collect()
     }
 
-    /// Zones that are cordoned here by a word from before `revision`, and not in `all`.
+    /// Zones that are cordoned here by information not newer than `revision`, and are not in `all`.
     fn missing_from(&self, all: &[Cordon], revision: Revision) -> Vec<String> {
-        let stands = |zone: &str| all.iter().any(|cordon| cordon.zone == zone);
-        let held = self.words.iter().filter(|(_, word)| word.is_cordoned);
-        held.filter(|(zone, word)| word.revision <= revision && !stands(zone))
+        let is_listed = |zone: &str| all.iter().any(|cordon| cordon.zone == zone);
+        let cordoned = self.zones.iter().filter(|(_, state)| state.is_cordoned);
+        cordoned
+            .filter(|(zone, state)| state.revision <= revision && !is_listed(zone))
             .map(|(zone, _)| zone.clone())
             .collect()
     }
 
-    /// Takes a word unless a newer one is known; true when it ended a cordon.
-    fn say(&mut self, zone: String, revision: Revision, is_cordoned: bool) -> bool {
-        let known = self.words.get(&zone).copied();
-        let is_new = known.is_none_or(|word| word.revision <= revision);
-        let has_room = known.is_some() || self.words.len() < MOST_ZONES;
+    /// Sets the state of a zone unless a newer one is known; returns true if this ended a cordon.
+    fn update(&mut self, zone: String, revision: Revision, is_cordoned: bool) -> bool {
+        let known = self.zones.get(&zone).copied();
+        let is_new = known.is_none_or(|state| state.revision <= revision);
+        let has_room = known.is_some() || self.zones.len() < MAX_ZONES;
         if !is_new || !has_room {
             return false;
         }
-        self.words.insert(
+        self.zones.insert(
             zone,
-            Word {
+            ZoneState {
                 revision,
                 is_cordoned,
             },
         );
-        !is_cordoned && known.is_some_and(|word| word.is_cordoned)
+        !is_cordoned && known.is_some_and(|state| state.is_cordoned)
     }
 }
