--- a/src/direct/ends.rs
+++ b/src/direct/ends.rs
@@ -1,7 +1,8 @@
-//! Runs that an endpoint did not finish, kept until it is known whether the endpoint itself has ended.
+//! Runs that an endpoint did not finish, kept until it is known whether the endpoint itself
+//! terminated.
 //!
-//! A connection breaks for many reasons. Only where the endpoint's life is over may a run be taken for a
-//! possible cause of that; planned ends, cuts and freezes are none.
+//! Connections break for many reasons. A run is a possible cause of its endpoint's termination only
+//! if the endpoint did terminate, and not by a planned shutdown, a network partition or a freeze.
 
 use std::collections::VecDeque;
 
@@ -10,12 +11,15 @@
 use crate::clock::Millis;
 use crate::fingerprint::Fingerprint;
 
-/// Time for which bytes that an endpoint sent before its end may still be read after the first broken connection.
-const READ_LATE: Millis = Millis(100);
-/// Unfinished runs that are kept for one endpoint, the newest ones: the slots of a large engine.
-const MOST_LOST: usize = 64;
-/// Time for which they are kept: some check-ins of an endpoint, after which the list shows that it has gone.
-const KEPT: Millis = Millis(8_000);
+/// Time after the first broken connection during which data that an endpoint sent before it
+/// terminated may still be read.
+const LATE_READ_TIME: Millis = Millis(100);
+/// Maximum number of unfinished runs kept for one endpoint, the newest ones: the slots of a large
+/// engine.
+const MAX_LOST_RUNS: usize = 64;
+/// Time for which they are kept: several check-ins of an endpoint, after which the list shows that
+/// it has gone.
+const RETENTION: Millis = Millis(8_000);
 
 /// How a run was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,26 +27,26 @@
 pub enum LostHow {
     /// Its connection broke.
     Broken,
-    /// Nothing more came, or its caller left; it may have gone on.
+    /// Nothing more arrived, or its caller left; it may have continued.
     Silent,
 }
 
-/// What shows that the life of an endpoint is over.
+/// Evidence that an endpoint has terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndSign {
     /// Nothing listens at its address.
     Refused,
-    /// Another one, or another life of it, has its address.
+    /// Another endpoint, or another incarnation of it, has its address.
     Replaced,
-    /// Its entry disappeared from the list.
+    /// Its record disappeared from the list.
     Unlisted,
-    /// A peer saw it end.
+    /// A peer reported it.
     Told,
 }
 
 impl EndSign {
-    /// Short name, as a metric label.
+    /// Value of the metric label.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Refused => "refused",
@@ -56,60 +60,65 @@
 /// A run that an endpoint did not finish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LostRun {
-    /// What was asked for.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
     /// When it was sent to the endpoint.
     pub began: Millis,
     /// When it was lost.
     pub lost: Millis,
-    /// How.
+    /// How it was lost.
     pub how: LostHow,
 }
 
-/// The unfinished runs of one endpoint.
+/// Unfinished runs of one endpoint.
 #[derive(Debug, Default)]
 pub struct LostRuns {
     runs: VecDeque<LostRun>,
-    /// What showed that its life is over.
+    /// Evidence that the endpoint has terminated, if there is any.
     ended: Option<EndSign>,
 }
 
 impl LostRuns {
-    /// A run was lost. Returns what showed that the endpoint has ended, where that is known by now.
+    /// Records a lost run. Returns the evidence if the endpoint is already known to have
+    /// terminated; the run is then not kept.
     pub fn record_loss(&mut self, run: LostRun) -> Option<EndSign> {
         if self.ended.is_some() {
             return self.ended;
         }
-        if self.runs.len() == MOST_LOST {
+        if self.runs.len() == MAX_LOST_RUNS {
             self.runs.pop_front();
         }
         self.runs.push_back(run);
         None
     }
 
-    /// The endpoint lives: what was lost there before did not end it.
+    /// Records that data arrived from the endpoint, so it is alive and the runs lost earlier did
+    /// not terminate it. Those lost within [`LATE_READ_TIME`] are kept, because the data may be from
+    /// before.
     pub fn record_contact(&mut self, now: Millis) {
         self.ended = None;
-        self.runs.retain(|run| now - run.lost < READ_LATE);
+        self.runs.retain(|run| now - run.lost < LATE_READ_TIME);
     }
 
-    /// The endpoint took a connection that was begun at a time: what was lost there by then did not end it.
-    pub fn record_connection(&mut self, begun: Millis) {
+    /// Records that the endpoint accepted a connection that was started at `started_at`, so the
+    /// runs lost by then did not terminate it.
+    pub fn record_connection(&mut self, started_at: Millis) {
         self.ended = None;
-        self.runs.retain(|run| run.lost > begun);
+        self.runs.retain(|run| run.lost > started_at);
     }
 
-    /// The endpoint's life is over. Returns the runs that were lost with it; none when that was known.
+    /// Records that the endpoint has terminated. Returns the runs that were lost with it; none if
+    /// that was already known.
     ///
-    /// A frozen or cut-off endpoint is silent as well, and its entry lapses: there only broken
-    /// connections tell that something ended.
+    /// A frozen or disconnected endpoint is silent as well, and its record lapses. So if it is only
+    /// unlisted, runs count only if their connection broke.
     pub fn record_end(&mut self, sign: EndSign, now: Millis) -> Vec<LostRun> {
         if sign != EndSign::Unlisted {
             self.ended = Some(sign);
         }
         let runs = std::mem::take(&mut self.runs);
-        let fresh = runs.into_iter().filter(|run| now - run.lost < KEPT);
-        fresh
+        let recent = runs.into_iter().filter(|run| now - run.lost < RETENTION);
+        recent
             .filter(|run| sign != EndSign::Unlisted || run.how == LostHow::Broken)
             .collect()
     }
