--- a/src/direct/gauge.rs
+++ b/src/direct/gauge.rs
@@ -1,6 +1,8 @@
-//! Counters and latency histograms of a direct entry, by OpenTelemetry, as Prometheus text.
+//! Metrics of a direct entry: counters, gauges and a latency histogram, recorded with OpenTelemetry
+//! and exported as Prometheus text.
 //!
-//! Labels are names from the configuration and closed sets; none grows with requests or keys.
+//! Label values are names from the configuration or come from closed sets, so their number does not
+//! grow with requests or keys.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
 use opentelemetry::KeyValue;
@@ -11,19 +13,20 @@
 use crate::direct::ends::EndSign;
 use crate::direct::limits::PermitDecision;
 
-/// Bounds of the latency buckets, in ms: around the targets of today's classes.
+/// Bounds of the latency buckets, in ms, chosen around the targets of the configured request
+/// classes.
 const LATENCY_MS: [f64; 12] = [
     10.0, 25.0, 50.0, 100.0, 200.0, 300.0, 500.0, 800.0, 1_200.0, 2_000.0, 4_000.0, 12_000.0,
 ];
 
-/// The instruments of one process.
+/// Metric instruments of one process.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     attempts: Counter<u64>,
-    first_ms: Histogram<f64>,
+    first_byte_ms: Histogram<f64>,
     store_calls: Counter<u64>,
     read_bytes: Counter<u64>,
     connections: Counter<u64>,
@@ -38,7 +41,8 @@
 }
 
 impl EntryMetrics {
-    /// Fresh instruments.
+    /// Creates the instruments. If the exporter cannot be set up, that is logged and the
+    /// instruments record without being exported.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -58,7 +62,7 @@
         Self {
             requests: meter.u64_counter("direct_requests").build(),
             attempts: meter.u64_counter("direct_attempts").build(),
-            first_ms: meter
+            first_byte_ms: meter
                 .f64_histogram("direct_first_byte_ms")
                 .with_boundaries(LATENCY_MS.to_vec())
                 .build(),
@@ -78,33 +82,36 @@
         }
     }
 
-    /// A request of a pool ended, on a route of an urgency.
+    /// Counts the end of a request for a pool. `urgency` is that of its route; `None` if no route
+    /// allowed it.
     pub fn request(&self, pool: &str, urgency: Option<u8>, outcome: &'static str) {
-        self.requests.add(1, &outcome_of(pool, urgency, outcome));
+        self.requests
+            .add(1, &outcome_labels(pool, urgency, outcome));
     }
 
-    /// A request was sent to an endpoint of a pool, or an attempt ended without an answer.
+    /// Counts an attempt that was sent to an endpoint of a pool, or one that ended without an
+    /// answer, according to `outcome`.
     pub fn attempt(&self, pool: &str, urgency: u8, outcome: &'static str) {
         self.attempts
-            .add(1, &outcome_of(pool, Some(urgency), outcome));
+            .add(1, &outcome_labels(pool, Some(urgency), outcome));
     }
 
-    /// The first byte of an answer left for the caller.
+    /// Records the time until the first byte of an answer was sent to the caller, in ms.
     pub fn first_byte(&self, pool: &str, priority: u8, ms: f64) {
         let labels = [
             KeyValue::new("pool", pool.to_owned()),
             KeyValue::new("priority", i64::from(priority)),
         ];
-        self.first_ms.record(ms, &labels);
+        self.first_byte_ms.record(ms, &labels);
     }
 
-    /// The store was called.
+    /// Counts a call to the store.
     pub fn store_call(&self, outcome: &'static str) {
         self.store_calls
             .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A document was read from the store or a peer, or a part of it came.
+    /// Counts bytes read of a document, or of a part of it, from the store or a peer.
     pub fn read(&self, document: &'static str, source: &'static str, bytes: u64) {
         let labels = [
             KeyValue::new("document", document),
@@ -113,40 +120,41 @@
         self.read_bytes.add(bytes, &labels);
     }
 
-    /// A connection to an endpoint was opened.
+    /// Counts a connection opened to an endpoint.
     pub fn connection(&self) {
         self.connections.add(1, &[]);
     }
 
-    /// An entry of the store could not be read.
+    /// Counts a record of the store that could not be parsed.
     pub fn unreadable(&self) {
         self.unreadable.add(1, &[]);
     }
 
-    /// Runs were lost with an endpoint whose life is over.
+    /// Counts runs that were lost because their endpoint terminated.
     pub fn runs_ended(&self, sign: EndSign, runs: u64) {
         let labels = [KeyValue::new("sign", sign.label())];
         self.runs_ended.add(runs, &labels);
     }
 
-    /// An endpoint announced that it wants no requests.
+    /// Counts an announcement by which an endpoint declines requests.
     pub fn announced(&self, what: DeclineReason) {
         let labels = [KeyValue::new("what", what.label())];
         self.announced.add(1, &labels);
     }
 
-    /// A request was sent to an endpoint against what that had announced.
+    /// Counts a request that was sent to an endpoint although that had declined requests.
     pub fn sent_against(&self, what: DeclineReason) {
         let labels = [KeyValue::new("what", what.label())];
         self.sent_against.add(1, &labels);
     }
 
-    /// A request was sent to an endpoint that had named a limit.
+    /// Counts a request that was sent to an endpoint that has announced a rate limit.
     pub fn sent_to_limited(&self) {
         self.sent_to_limited.add(1, &[]);
     }
 
-    /// A permit was asked for to send a request to an endpoint that may have a limit.
+    /// Counts a request for a permit to send to an endpoint that may have a rate limit; nothing is
+    /// counted for an endpoint without one.
     pub fn permit(&self, step: &PermitDecision) {
         let outcome = match step {
             PermitDecision::Unlimited => return,
@@ -157,18 +165,19 @@
         self.permits.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// A request was refused while endpoints of its pool had free slots.
+    /// Counts a request that was refused while endpoints of its pool had free slots.
     pub fn refused_with_room(&self, pool: &str) {
         let labels = [KeyValue::new("pool", pool.to_owned())];
         self.refused_with_room.add(1, &labels);
     }
 
-    /// Sets a gauge, such as the version in force or the number of peers.
+    /// Sets the gauge `name`, such as the configuration version in force or the number of entries.
     pub fn set(&self, name: &'static str, value: u64) {
         self.state.record(value, &[KeyValue::new("name", name)]);
     }
 
-    /// All instruments as Prometheus text.
+    /// Renders all metrics as Prometheus text; empty or truncated if they cannot be encoded, which
+    /// is logged.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         if let Err(err) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
@@ -178,8 +187,9 @@
     }
 }
 
-/// Labels of an outcome in a pool; requests that no route allows have an empty urgency.
-fn outcome_of(pool: &str, urgency: Option<u8>, outcome: &'static str) -> [KeyValue; 3] {
+/// Labels for the outcome of a request in a pool. The urgency label is empty for a request that no
+/// route allowed.
+fn outcome_labels(pool: &str, urgency: Option<u8>, outcome: &'static str) -> [KeyValue; 3] {
     let urgency = urgency.map_or(String::new(), |urgency| urgency.to_string());
     [
         KeyValue::new("pool", pool.to_owned()),
