--- a/src/direct/residency.rs
+++ b/src/direct/residency.rs
@@ -1,25 +1,26 @@
-//! Data residency: regions outside of which the requests of a route or a team don't run.
+//! Data residency: restricts the requests of a route or a team to endpoints in certain regions.
 //!
-//! Both bind where both are told. An endpoint in a zone whose region is not known is outside of all.
+//! If both the route and the team name regions, an endpoint must satisfy both. An endpoint in a
+//! zone of unknown region satisfies no restriction.
 
 use std::collections::BTreeMap;
 
 use crate::direct::catalog::{Route, Team};
 
-/// Whether an endpoint in an availability zone may run requests of a route and a team; `regions` names the region
-/// of each zone.
+/// Whether an endpoint in availability zone `zone` may run requests of a route and a team;
+/// `regions` maps each zone to its region.
 pub fn allows(
     route: &Route,
     team: Option<&Team>,
     zone: &str,
     regions: &BTreeMap<String, String>,
 ) -> bool {
-    let of_team = team.map_or(&[][..], |team| &team.regions[..]);
-    let is_within = |allowed: &[String]| {
-        allowed.is_empty()
+    let team_regions = team.map_or(&[][..], |team| &team.regions[..]);
+    let is_within = |allowed_regions: &[String]| {
+        allowed_regions.is_empty()
             || regions
                 .get(zone)
-                .is_some_and(|region| allowed.contains(region))
+                .is_some_and(|region| allowed_regions.contains(region))
     };
-    is_within(&route.regions) && is_within(of_team)
+    is_within(&route.regions) && is_within(team_regions)
 }
