--- a/src/direct/refuse.rs
+++ b/src/direct/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of the entry itself, to requests that no endpoint answers.
+//! Responses that the entry writes itself, to requests that no endpoint answers.
 
 use bytes::Bytes;
 
@@ -10,10 +10,11 @@
 use crate::direct::intake::IncomingRequest;
 use crate::direct::resolve::Denied;
 
-/// Advice while this entry can't decide; another entry can.
+/// Retry delay sent while this entry can't decide on requests; another entry can.
 pub const RETRY_ELSEWHERE_AFTER: Millis = Millis(60);
 
-/// Refuses a request that may not run.
+/// Logs and writes the refusal of a request that may not run. Returns false if the connection must
+/// be closed.
 pub async fn deny(
     entry: &Entry,
     answerer: &mut Answerer,
@@ -30,7 +31,7 @@
     write(entry, answerer, refusal, Some(ask)).await
 }
 
-/// Writes a refusal; false when the connection is to be closed.
+/// Writes a refusal; returns false if the connection must be closed.
 pub async fn write(
     entry: &Entry,
     answerer: &mut Answerer,
@@ -45,22 +46,22 @@
     written.is_ok() && answerer.keeps_connection()
 }
 
-/// What is told of a refused request that was allowed.
+/// Details of a refused request that was authorized, for the decision log.
 #[derive(Debug, Clone, Copy)]
 pub struct AllowedRequest {
     /// Urgency of its route.
     pub urgency: u8,
-    /// Endpoints that had room.
+    /// Number of endpoints of its pool that had capacity.
     pub free_endpoints: usize,
 }
 
-/// Logs a refusal, `of` a request that was allowed or not.
+/// Logs a refusal. `allowed` holds the details if the request was authorized, `None` if not.
 pub fn log(
     entry: &Entry,
     ask: &ParsedRequest,
     incoming: &IncomingRequest,
     why: RefusalReason,
-    of: Option<AllowedRequest>,
+    allowed: Option<AllowedRequest>,
 ) {
     let refused = Decision::Refused {
         why,
@@ -68,8 +69,8 @@
         catalog: entry.version(),
         proof_age_ms: entry.proof_age().map(|age| age.0),
         held_ms: (entry.clock.now() - incoming.received_at).0,
-        urgency: of.map(|of| of.urgency),
-        free_endpoints: of.map(|of| of.free_endpoints),
+        urgency: allowed.map(|allowed| allowed.urgency),
+        free_endpoints: allowed.map(|allowed| allowed.free_endpoints),
     };
     entry.log.request(ask.id.as_bytes(), refused);
 }
