--- a/src/direct/freshness.rs
+++ b/src/direct/freshness.rs
@@ -1,37 +1,39 @@
-//! How old the process's knowledge of the configuration may be, proved on its own steady clock.
+//! Age of the process's knowledge of the configuration, measured on its own monotonic clock.
 //!
-//! A proof dates from the moment at which the question was sent, never from the answer: the
-//! answer may have waited in a socket buffer. A peer's proof is dated from the question to that
-//! peer, less the age that the peer tells. So a proof never claims to be younger than it is.
+//! A proof of being up to date is dated from the moment at which the question was sent, never from
+//! the answer, which may have waited in a socket buffer. A peer's proof is dated from the question
+//! to that peer, minus the age that the peer reports. So a proof is never dated later than it
+//! should be.
 
 use crate::clock::Millis;
 
 /// When the configuration in force was last known to be the newest.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Freshness {
-    /// When the question of the newest proof was sent.
-    proven: Option<Millis>,
+    /// When the question that led to the newest proof was sent; `None` before the first proof.
+    proven_at: Option<Millis>,
 }
 
 impl Freshness {
-    /// A question sent at `asked` was answered: what this process holds was the newest then.
+    /// Records the answer to a question sent at `asked`: what this process has was the newest then.
     pub fn prove(&mut self, asked: Millis) {
-        self.proven = self.proven.max(Some(asked));
+        self.proven_at = self.proven_at.max(Some(asked));
     }
 
-    /// A peer asked at `asked` holds the same knowledge, proven `age` before its answer.
+    /// Records that a peer, asked at `asked`, has the same configuration, proven `age` before its
+    /// answer. Ignored if that lies before the start of the clock.
     pub fn prove_by_peer(&mut self, asked: Millis, age: Millis) {
         if asked.0 >= age.0 {
             self.prove(asked - age);
         }
     }
 
-    /// Age of the proof at `now`; `None` when there has been none.
+    /// Age of the newest proof at `now`; `None` if there is none.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.proven.map(|at| now - at)
+        self.proven_at.map(|at| now - at)
     }
 
-    /// Whether the proof is younger than `bound`.
+    /// Whether there is a proof and it is younger than `bound`.
     pub fn is_younger_than(&self, now: Millis, bound: Millis) -> bool {
         self.age(now).is_some_and(|age| age < bound)
     }
