--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -9,10 +9,10 @@
 const UNREAD_BLOCK: u32 = 64;
 /// Tokens of memory per block, for `held`.
 const HELD_BLOCK: u32 = 256;
-/// Hundredths of a stream per block, for `delicate`.
-const DELICATE_BLOCK: u32 = 4;
+/// Hundredths of a stream per block, for `pause_sensitivity`.
+const PAUSE_SENSITIVITY_BLOCK: u32 = 4;
 
-/// Work at one endpoint; the token counts and `delicate` are in blocks.
+/// Work at one endpoint; the token counts and `pause_sensitivity` are in blocks.
 #[derive(Serialize, Deserialize)]
 struct CompactWork {
     /// Digest of the endpoint's incarnation. Its values are evenly spread, so a fixed length is
@@ -21,7 +21,8 @@
     running: u32,
     unread: [u32; BANDS],
     held: u32,
-    delicate: u32,
+    #[serde(rename = "delicate")]
+    pause_sensitivity: u32,
     pressure: u32,
 }
 
@@ -32,7 +33,7 @@
             running: work.running,
             unread: work.unread.map(|tokens| tokens.div_ceil(UNREAD_BLOCK)),
             held: work.held.div_ceil(HELD_BLOCK),
-            delicate: work.pause_sensitivity.div_ceil(DELICATE_BLOCK),
+            pause_sensitivity: work.pause_sensitivity.div_ceil(PAUSE_SENSITIVITY_BLOCK),
             pressure: work.pressure.div_ceil(UNREAD_BLOCK),
         }
     }
@@ -44,7 +45,9 @@
                 .unread
                 .map(|compact| compact.saturating_mul(UNREAD_BLOCK)),
             held: self.held.saturating_mul(HELD_BLOCK),
-            pause_sensitivity: self.delicate.saturating_mul(DELICATE_BLOCK),
+            pause_sensitivity: self
+                .pause_sensitivity
+                .saturating_mul(PAUSE_SENSITIVITY_BLOCK),
             pressure: self.pressure.saturating_mul(UNREAD_BLOCK),
         };
         (u32::from_be_bytes(self.endpoint), work)
