--- a/src/direct/fetch.rs
+++ b/src/direct/fetch.rs
@@ -94,12 +94,12 @@
     let address = SocketAddr::new(peer.ip(), entry.settings.borrow().admin.port());
     let client = StoreClient::new(address);
     let reading = OngoingRead::begin(entry, document, Some(peer));
-    let answer = client.call(query, FETCH_TIMEOUT).await;
-    let failure = match &answer {
+    let result = client.call(query, FETCH_TIMEOUT).await;
+    let failure = match &result {
         Ok((status, _)) if !status.is_success() => Some(format!("status {}", status.as_u16())),
         Ok(_) => None,
         Err(err) => Some(err.to_string()),
     };
     reading.end(entry, &client, failure);
-    answer
+    result
 }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -54,7 +54,7 @@
     pub leaving: bool,
     /// Whether the sender watches the store and gets answers, and so learns of changes first.
     pub watches: bool,
-    /// Whether the sender is receiving a large answer of the store, for which its proof has to
+    /// Whether the sender is receiving a large response of the store, for which its proof has to
     /// wait.
     pub reads_large: bool,
     /// Bandwidth of the sender's link, in Mbit/s; 0 where it is not known.
--- a/src/direct/sync/mod.rs
+++ b/src/direct/sync/mod.rs
@@ -70,17 +70,17 @@
             entry.record_large_answer_piece();
         }
     };
-    let answer = match response {
+    let result = match response {
         Ok(pending) => client.finish(pending, on_progress).await,
         Err(err) => Err(err),
     };
-    let failure = answer.as_ref().err().map(ToString::to_string);
+    let failure = result.as_ref().err().map(ToString::to_string);
     reading.end(entry, client, failure);
-    entry.metrics.store_call(match &answer {
+    entry.metrics.store_call(match &result {
         Ok(_) => "answered",
         Err(_) => "failed",
     });
-    answer
+    result
 }
 
 /// Waits after a failed call, for [`RETRY_PAUSE_MS`] to twice as long.
