--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -76,7 +76,7 @@
 /// messages.
 #[derive(Debug, Default)]
 pub struct Limits {
-    /// By the endpoints\' digests.
+    /// By the endpoints' digests.
     by_endpoint: HashMap<u32, EndpointLimit>,
     /// Peers that did not respond, and until when they are not asked.
     unresponsive: HashMap<SocketAddr, Millis>,
