--- a/src/direct/limits/limited.rs
+++ b/src/direct/limits/limited.rs
@@ -11,8 +11,9 @@
 /// or forged message cannot close an endpoint to the fleet for longer. What the endpoint announced
 /// to this entry itself stays in force until it announces something else.
 const PEER_REPORT_TTL: Millis = Millis(30_000);
-/// Delay after a change in the set of serving entries before a new coordinator issues permits. By
-/// then the previous coordinator has heard of the change.
+/// Time after its creation during which a new coordinator's bucket stays empty, if the set of
+/// serving entries changed shortly before. By the end of it the previous coordinator has heard of
+/// the change.
 const HANDOVER_DELAY: Millis = Millis(1_000);
 /// Time for which a second permit request for the same endpoint is held back while the first one is
 /// unanswered: requests that wait together would all ask for the same permit.
