--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -8,21 +8,21 @@
 //! is sent. If entries disagree on who it is, each issues less than the limit, see
 //! [`PermitBucket`].
 
-mod allowance;
-mod limited;
+mod endpoint_limit;
 mod message;
-mod word;
+mod observation;
+mod permit_bucket;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-pub use self::allowance::PermitBucket;
-use self::limited::EndpointLimit;
+use self::endpoint_limit::EndpointLimit;
 pub use self::message::{
     decode, encode, Message, PermitGrant, PermitRequest, PermitResponse, WireObservation,
     MAX_OBSERVATIONS,
 };
-pub use self::word::LimitObservation;
+pub use self::observation::LimitObservation;
+pub use self::permit_bucket::PermitBucket;
 use crate::announced::AnnouncedLimit;
 use crate::clock::Millis;
 use crate::direct::load::BANDS;
