--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// A quarantine before twelve endpoints in which these ends were seen as they happened.
-fn seen(ends: &[EndpointEnd]) -> Quarantine {
+/// A quarantine that knows twelve endpoints and has recorded these ends as they happened.
+fn with_ends(ends: &[EndpointEnd]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoint_count(12);
     for end in ends {
@@ -24,7 +24,7 @@
     quarantine
 }
 
-/// Whether it is refused, once it is judged.
+/// Whether the request is refused once it has been evaluated.
 fn is_refused(quarantine: &mut Quarantine, at: u64) -> bool {
     quarantine.evaluate_suspects(Millis(u64::MAX));
     matches!(
@@ -34,22 +34,23 @@
 }
 
 #[test]
-fn third_in_row() {
+fn refused_at_third_end() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     assert_eq!(
-        seen(&ends[..2]).request_status(REQUEST, Millis(600)),
+        with_ends(&ends[..2]).request_status(REQUEST, Millis(600)),
         QuarantineStatus::Suspect { ends: 2 }
     );
-    assert!(is_refused(&mut seen(&ends), 600));
-    let other = seen(&ends).request_status(Fingerprint(8), Millis(600));
+    assert!(is_refused(&mut with_ends(&ends), 600));
+    let other = with_ends(&ends).request_status(Fingerprint(8), Millis(600));
     assert_eq!(other, QuarantineStatus::Clear);
 }
 
-/// A rack goes with three endpoints that run copies of one request; or five copies are under way when the first ends.
+/// Ends of one moment count once: a rack with three endpoints that run copies of one request fails,
+/// or five copies are running when the first endpoint ends.
 #[test]
-fn lost_at_once() {
+fn simultaneous_ends_count_once() {
     let at_once = [end(1, 0, 900), end(2, 100, 900), end(3, 300, 910)];
-    let quarantine = seen(&at_once);
+    let quarantine = with_ends(&at_once);
     assert_eq!(
         quarantine.request_status(REQUEST, Millis(1_000)),
         QuarantineStatus::Suspect { ends: 1 }
@@ -60,9 +61,10 @@
     assert!(is_refused(&mut again, 1_400));
 }
 
-/// Where endpoints end under many requests, three runs are lost by chance; the fifth end tells all the same.
+/// Where endpoints end under many requests, a request can lose three runs by chance; the fifth end
+/// is enough even then.
 #[test]
-fn many_end() {
+fn fifth_end_among_many() {
     let long = [1, 2, 3, 4, 5].map(|i| end(i, u64::from(i) * 1_000 - 900, u64::from(i) * 1_000));
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoint_count(9);
@@ -75,7 +77,7 @@
         quarantine.record_end(REQUEST, *end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 5_100));
-    // Where nothing else ends meanwhile the third one tells.
+    // Where nothing else ends meanwhile the third end is enough.
     let mut alone = quarantine;
     for i in 0..3 {
         let at = 20_000 + i * 500;
@@ -83,17 +85,14 @@
         alone.record_end(Fingerprint(9), end, Millis(at + 40));
     }
     alone.evaluate_suspects(Millis(u64::MAX));
-    let standing = alone.request_status(Fingerprint(9), Millis(21_100));
-    assert!(matches!(
-        standing,
-        QuarantineStatus::Refused { ends: 3, .. }
-    ));
+    let status = alone.request_status(Fingerprint(9), Millis(21_100));
+    assert!(matches!(status, QuarantineStatus::Refused { ends: 3, .. }));
 }
 
-/// What was lost with the ends of a request that is refused by now is not suspected for those.
+/// A request that was lost with ends of an already refused request is not suspected for these.
 #[test]
-fn explained_ends() {
-    let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)]);
+fn ends_explained_by_refused_request() {
+    let mut quarantine = with_ends(&[end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)]);
     assert!(is_refused(&mut quarantine, 600));
     quarantine.set_endpoint_count(56);
     let other = Fingerprint(9);
@@ -101,10 +100,10 @@
         quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 1_100));
-    let standing = quarantine.request_status(other, Millis(1_100));
-    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
-    // One that was at all three ends can't be told from it.
-    let mut both = seen(&[end(1, 0, 100), end(2, 200, 300)]);
+    let status = quarantine.request_status(other, Millis(1_100));
+    assert_eq!(status, QuarantineStatus::Suspect { ends: 3 });
+    // A request that was at all three ends can't be told from the cause, so both are refused.
+    let mut both = with_ends(&[end(1, 0, 100), end(2, 200, 300)]);
     for end in [end(1, 0, 101), end(2, 200, 301), end(3, 400, 501)] {
         both.record_end(other, end, end.ended);
     }
@@ -112,23 +111,24 @@
     assert!(is_refused(&mut both, 600));
 }
 
-/// Lost with an endpoint that ended for its own reasons, then with two that another request ended, which goes on alone.
+/// A request is lost with an endpoint that ended for its own reasons, then with two that another
+/// request ended. The other one goes on to end endpoints alone, which explains those two.
 #[test]
-fn other_went_on() {
+fn ends_explained_by_later_ones() {
     let other = Fingerprint(9);
-    let mut quarantine = seen(&[end(2, 200, 300), end(3, 400, 500), end(4, 700, 800)]);
+    let mut quarantine = with_ends(&[end(2, 200, 300), end(3, 400, 500), end(4, 700, 800)]);
     for end in [end(1, 0, 100), end(2, 150, 301), end(3, 350, 501)] {
         quarantine.record_end(other, end, end.ended);
     }
     assert!(is_refused(&mut quarantine, 900));
-    let standing = quarantine.request_status(other, Millis(900));
-    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
+    let status = quarantine.request_status(other, Millis(900));
+    assert_eq!(status, QuarantineStatus::Suspect { ends: 3 });
 }
 
-/// A process that has just started does not know what else ended meanwhile. It refuses what its peers refuse, and nothing
-/// because of the ends alone that they tell.
+/// A process that has just started does not know what else ended meanwhile. It refuses what its
+/// peers refuse, and nothing on the basis of reported ends alone.
 #[test]
-fn judged_by_peers() {
+fn fresh_process_relies_on_peers() {
     let now = Millis(10);
     let ended = |endpoint, age| Notice::Ended {
         request: REQUEST,
@@ -158,15 +158,16 @@
     assert_eq!(change, Change::Cleared);
 }
 
-/// What ended at the same moment is heard some rounds later: until then it waits, and is neither refused nor sent.
+/// Ends of the same moment are reported some gossip rounds later. Until then the request waits: it
+/// is neither refused nor sent.
 #[test]
-fn heard_first() {
+fn evaluation_waits_for_reports() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
-    let mut alone = seen(&ends);
+    let mut alone = with_ends(&ends);
     assert!(alone.evaluate_suspects(Millis(900)).is_empty());
-    let standing = alone.request_status(REQUEST, Millis(900));
+    let status = alone.request_status(REQUEST, Millis(900));
     assert!(matches!(
-        standing,
+        status,
         QuarantineStatus::MustWait {
             ends: 3,
             began: None,
@@ -174,54 +175,55 @@
         }
     ));
     assert_eq!(alone.evaluate_suspects(Millis(1_000)), [REQUEST]);
-    let mut rack = seen(&ends);
+    let mut rack = with_ends(&ends);
     for i in 0..6 {
         rack.record_end(Fingerprint(50 + i), end(10 + i as u32, 0, 500), Millis(700));
     }
     assert!(rack.evaluate_suspects(Millis(1_000)).is_empty());
-    let standing = rack.request_status(REQUEST, Millis(1_000));
-    assert_eq!(standing, QuarantineStatus::Suspect { ends: 3 });
+    let status = rack.request_status(REQUEST, Millis(1_000));
+    assert_eq!(status, QuarantineStatus::Suspect { ends: 3 });
 }
 
-/// The end of one life counts once, whoever saw it, in whatever order.
+/// The end of one incarnation counts once, whoever saw it, in whatever order.
 #[test]
-fn one_life_once() {
-    let mut quarantine = seen(&[end(1, 0, 100), end(1, 0, 104), end(2, 200, 300)]);
+fn incarnation_counts_once() {
+    let mut quarantine = with_ends(&[end(1, 0, 100), end(1, 0, 104), end(2, 200, 300)]);
     assert_eq!(
         quarantine.record_end(REQUEST, end(2, 201, 330), Millis(400)),
         Change::None
     );
     assert!(!is_refused(&mut quarantine, 500));
-    // The address and the id are the same; the life is another one.
+    // The endpoint's address and id are the same, but the incarnation is another one.
     quarantine.record_end(REQUEST, end(9, 400, 500), Millis(500));
     assert!(is_refused(&mut quarantine, 600));
 }
 
 #[test]
-fn order_of_notices() {
+fn notice_order_is_irrelevant() {
     let all = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let now = Millis(1_000);
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
         let mut quarantine = Quarantine::default();
         quarantine.set_endpoint_count(12);
         for i in order {
-            let told = Notice::Ended {
+            let notice = Notice::Ended {
                 request: REQUEST,
                 endpoint: all[i].endpoint,
                 began: (now - all[i].began).as_u32(),
                 ended: (now - all[i].ended).as_u32(),
             };
-            quarantine.apply_notice(&told, now);
-            assert_eq!(quarantine.apply_notice(&told, now), Change::None);
+            quarantine.apply_notice(&notice, now);
+            assert_eq!(quarantine.apply_notice(&notice, now), Change::None);
         }
         assert!(is_refused(&mut quarantine, 1_000), "{order:?}");
     }
 }
 
-/// A run that an endpoint finishes clears it, also where an earlier end is told only afterwards.
+/// A run that an endpoint completes clears the request, also of an earlier end that is reported
+/// only afterwards.
 #[test]
-fn finished_clears() {
-    let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
+fn completion_clears() {
+    let mut quarantine = with_ends(&[end(1, 0, 100), end(2, 200, 300)]);
     let change = quarantine.record_completion(REQUEST, Millis(400), Millis(400));
     assert_eq!(change, Change::Cleared);
     assert_eq!(
@@ -237,28 +239,29 @@
 }
 
 #[test]
-fn one_at_once() {
-    let mut quarantine = seen(&[end(1, 0, 100)]);
+fn one_copy_at_a_time() {
+    let mut quarantine = with_ends(&[end(1, 0, 100)]);
     let now = Millis(200);
     assert_eq!(quarantine.record_start(REQUEST, now, now), Change::Began);
-    let standing = quarantine.request_status(REQUEST, Millis(250));
+    let status = quarantine.request_status(REQUEST, Millis(250));
     assert!(
-        matches!(standing, QuarantineStatus::MustWait { ends: 1, began, .. } if began == Some(now))
+        matches!(status, QuarantineStatus::MustWait { ends: 1, began, .. } if began == Some(now))
     );
     quarantine.record_end(REQUEST, end(2, 200, 300), Millis(300));
-    let standing = quarantine.request_status(REQUEST, Millis(310));
-    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
-    // A run whose end nobody tells does not hold the next one up for good.
+    let status = quarantine.request_status(REQUEST, Millis(310));
+    assert_eq!(status, QuarantineStatus::Suspect { ends: 2 });
+    // A run whose end nobody reports does not block the next copy for ever.
     quarantine.record_start(REQUEST, Millis(320), Millis(320));
-    let standing = quarantine.request_status(REQUEST, Millis(2_000));
-    assert_eq!(standing, QuarantineStatus::Suspect { ends: 2 });
+    let status = quarantine.request_status(REQUEST, Millis(2_000));
+    assert_eq!(status, QuarantineStatus::Suspect { ends: 2 });
 }
 
-/// Hours later, on other engines: it may run once, and is refused for longer where that ends one more.
+/// Hours later, on other engines, the request may run once; it is refused for longer if that ends
+/// one more endpoint.
 #[test]
-fn tried_again() {
+fn one_try_after_refusal() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
-    let mut quarantine = seen(&ends);
+    let mut quarantine = with_ends(&ends);
     assert!(is_refused(&mut quarantine, 600_000));
     let later = 601_000;
     quarantine.expire(Millis(later));
@@ -273,14 +276,14 @@
         Millis(later + 1_201_000),
         Millis(later + 1_201_000),
     );
-    let standing = quarantine.request_status(REQUEST, Millis(later + 1_201_000));
-    assert_eq!(standing, QuarantineStatus::Clear);
+    let status = quarantine.request_status(REQUEST, Millis(later + 1_201_000));
+    assert_eq!(status, QuarantineStatus::Clear);
 }
 
-/// A flood of requests that are each lost once does not make entries forget one that ends endpoints.
+/// A flood of requests that are each lost once does not displace a request that ends endpoints.
 #[test]
-fn flood_of_others() {
-    let mut quarantine = seen(&[end(1, 0, 100), end(2, 200, 300)]);
+fn flood_keeps_suspects() {
+    let mut quarantine = with_ends(&[end(1, 0, 100), end(2, 200, 300)]);
     for i in 0..20_000 {
         let now = Millis(1_000 + i);
         quarantine.record_end(Fingerprint(100 + i), end(3, 900, 1_000), now);
@@ -290,10 +293,10 @@
 }
 
 #[test]
-fn refused_told_anew() {
+fn refusals_reach_new_peer() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let late = Millis(100_000);
-    let mut known = seen(&ends);
+    let mut known = with_ends(&ends);
     assert!(is_refused(&mut known, 600));
     let told = known.refused_notices(72, late);
     let mut newcomer = Quarantine::default();
@@ -301,12 +304,12 @@
         newcomer.apply_notice(notice, Millis(500_000));
     }
     assert!(is_refused(&mut newcomer, 500_010));
-    // The ages go on: it is not refused for longer than elsewhere.
+    // Ages keep growing in transit: it is not refused for longer than elsewhere.
     assert!(!is_refused(&mut newcomer, 500_000 + 501_000));
 }
 
 #[test]
-fn caller_in_digest() {
+fn fingerprint_includes_caller() {
     let of = |team, body: &[u8]| Fingerprint::of(team, &["h", "POST", "/p"], body);
     assert_eq!(of("a", b"x"), of("a", b"x"));
     assert_ne!(of("a", b"x"), of("b", b"x"));
