--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time before engines that end: under one request that comes again and again, for reasons of their
-//! own, and by racks.
+//! Simulates a fleet of entries and engines in virtual time. Engines end because one request
+//! crashes them again and again, for reasons of their own, and by racks.
 
 mod common;
 mod fleet;
@@ -10,7 +10,7 @@
 use violetline::fingerprint::Fingerprint;
 use violetline::quarantine::{Notice, Quarantine, QuarantineStatus, MAX_NOTICES_PER_MESSAGE};
 
-const KILLING: Scenario = Scenario {
+const BASE_SCENARIO: Scenario = Scenario {
     entries: 3,
     engines: 9,
     rate: 50,
@@ -21,12 +21,12 @@
     seed: 1,
 };
 
-/// Sizes of fleets, with their engines and innocent requests a second.
+/// Fleet sizes: entries, engines and innocent requests a second.
 const SIZES: [(usize, usize, u64); 4] =
     [(3, 9, 50), (30, 56, 300), (100, 180, 800), (450, 900, 900)];
 
 #[test]
-fn stopped_everywhere() {
+fn crashing_request_is_stopped() {
     let mut seen = BTreeMap::new();
     for (entries, engines, rate) in SIZES {
         for again in [60, 300, 1_500] {
@@ -35,7 +35,7 @@
                 engines,
                 rate,
                 again,
-                ..KILLING
+                ..BASE_SCENARIO
             });
             fleet.play();
             assert!(fleet.refused > 0, "{entries} entries, every {again} ms");
@@ -65,7 +65,7 @@
                 rack,
                 seconds: 40,
                 seed,
-                ..KILLING
+                ..BASE_SCENARIO
             });
             fleet.play();
             let (hit, refused) = fleet.innocent();
@@ -80,9 +80,10 @@
     assert!(lost > 2_000, "too little happened: {lost}");
 }
 
-/// Both at once, so that innocent requests meet the ends of the one and of the others.
+/// Both at once, so that innocent requests are lost with engines that the crashing request ends and
+/// with others.
 #[test]
-fn innocent_beside_it() {
+fn innocent_beside_crashing_request() {
     let mut lost = 0;
     for seed in 0..6 {
         for (entries, engines, rate) in [(3, 9, 50), (30, 56, 300)] {
@@ -93,7 +94,7 @@
                 ends: engines / 9,
                 rack: engines / 3,
                 seed,
-                ..KILLING
+                ..BASE_SCENARIO
             });
             fleet.play();
             let (hit, refused) = fleet.innocent();
@@ -106,23 +107,23 @@
     eprintln!("{lost} innocent requests were lost beside it");
 }
 
-/// An entry that hears nobody, and one that has just started.
+/// An entry that is partitioned from all others, and one that has just started.
 #[test]
-fn cut_off_entry() {
-    let mut fleet = Fleet::new(KILLING);
+fn partitioned_and_fresh_entries() {
+    let mut fleet = Fleet::new(BASE_SCENARIO);
     fleet.members[0].is_cut_off = true;
     fleet.play();
     let (late, ended) = (fleet.reached_after(3_000), fleet.ended.len());
-    // Each side stops at its fifth at the latest.
+    // Each side refuses the request at its fifth end at the latest.
     assert!(late <= 3 && ended <= 10, "{late} late, {ended} ended");
     let now = fleet.time();
-    let told = fleet.members[1]
+    let notices = fleet.members[1]
         .quarantine
         .refused_notices(MAX_NOTICES_PER_MESSAGE, now);
     let mut fresh = Quarantine::started_at(now);
-    told.iter().for_each(|notice: &Notice| {
+    notices.iter().for_each(|notice: &Notice| {
         fresh.apply_notice(notice, now);
     });
-    let standing = fresh.request_status(Fingerprint(CRASHING_REQUEST as u64), now);
-    assert!(matches!(standing, QuarantineStatus::Refused { .. }));
+    let status = fresh.request_status(Fingerprint(CRASHING_REQUEST as u64), now);
+    assert!(matches!(status, QuarantineStatus::Refused { .. }));
 }
