--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -1,5 +1,5 @@
-//! Requests that are polled, so that a copy of them is lost with each engine that another request ends. They were told to
-//! stay away for 10 minutes and more, though innocent.
+//! Guards against refusing innocent requests that are polled: a copy of them is lost with each
+//! engine that another request crashes. Such requests were refused for 10 minutes and more.
 
 mod common;
 
@@ -13,11 +13,11 @@
 use violetline::quarantine::{Notice, QuarantineStatus};
 
 const POLLED: Fingerprint = Fingerprint(1);
-const ENDING: Fingerprint = Fingerprint(2);
-/// Time for what ended together to be heard.
-const JUDGED: Millis = Millis(500);
+const CRASHING: Fingerprint = Fingerprint(2);
+/// Delay of the evaluation, in which simultaneous ends are reported.
+const EVALUATION_DELAY: Millis = Millis(500);
 
-/// An entry before some endpoints of one pool and some of another.
+/// An entry with `own` endpoints of one pool and `others` of another.
 fn with_pools(own: usize, others: usize) -> (Clock, Rc<Entry>) {
     let (clock, entry) = entry();
     let own = (0..own).map(|i| listed(&format!("i-{i}"), 1));
@@ -30,8 +30,8 @@
     (clock, entry)
 }
 
-/// An endpoint ends under a request whose run began 50 ms before.
-fn ended(entry: &Entry, request: Fingerprint, endpoint: usize) {
+/// An endpoint ends under a request whose run started 50 ms before.
+fn record_end(entry: &Entry, request: Fingerprint, endpoint: usize) {
     entry.apply_notices(&[Notice::Ended {
         request,
         endpoint: digest(&format!("i-{endpoint}"), None),
@@ -47,31 +47,32 @@
     )
 }
 
-/// Three of a pool's four endpoints ended under both. Among the nine endpoints of all pools that would hardly be chance;
-/// among the four it is.
+/// Three of a pool's four endpoints ended under both requests. Among the nine endpoints of all
+/// pools that would hardly be chance; among the pool's four it is.
 #[test]
-fn small_pool() {
+fn ends_by_chance_in_small_pool() {
     let (clock, entry) = with_pools(4, 5);
     for endpoint in 0..3 {
         clock.advance(Millis(100));
-        ended(&entry, ENDING, endpoint);
-        ended(&entry, POLLED, endpoint);
+        record_end(&entry, CRASHING, endpoint);
+        record_end(&entry, POLLED, endpoint);
     }
-    clock.advance(JUDGED);
+    clock.advance(EVALUATION_DELAY);
     assert!(!is_refused(&entry, POLLED));
 }
 
-/// Two ends are shared: the one does not run while the other does, and the next end tells them apart.
+/// Two requests share two ends: one does not run while the other does, and the next end tells them
+/// apart.
 #[test]
-fn one_at_once() {
+fn requests_with_shared_ends_take_turns() {
     let (clock, entry) = with_pools(9, 3);
     let shared = |endpoint| {
         clock.advance(Millis(100));
-        ended(&entry, ENDING, endpoint);
-        ended(&entry, POLLED, endpoint);
+        record_end(&entry, CRASHING, endpoint);
+        record_end(&entry, POLLED, endpoint);
     };
     shared(0);
-    entry.record_suspect_start(ENDING, clock.now());
+    entry.record_suspect_start(CRASHING, clock.now());
     assert_eq!(
         entry.request_status(POLLED),
         QuarantineStatus::Suspect { ends: 1 }
@@ -81,41 +82,41 @@
         entry.request_status(POLLED),
         QuarantineStatus::Suspect { ends: 2 }
     );
-    entry.record_suspect_start(ENDING, clock.now() + Millis(1));
-    let standing = entry.request_status(POLLED);
+    entry.record_suspect_start(CRASHING, clock.now() + Millis(1));
+    let status = entry.request_status(POLLED);
     assert!(
         matches!(
-            standing,
+            status,
             QuarantineStatus::MustWait {
                 ends: 2,
                 began: None,
                 ..
             }
         ),
-        "{standing:?}"
+        "{status:?}"
     );
     clock.advance(Millis(100));
-    ended(&entry, ENDING, 2);
+    record_end(&entry, CRASHING, 2);
     assert_eq!(
         entry.request_status(POLLED),
         QuarantineStatus::Suspect { ends: 2 }
     );
-    clock.advance(JUDGED);
-    assert!(is_refused(&entry, ENDING));
-    // One more end, of its own, does not make it the cause: the others are explained.
-    ended(&entry, POLLED, 3);
-    clock.advance(JUDGED);
+    clock.advance(EVALUATION_DELAY);
+    assert!(is_refused(&entry, CRASHING));
+    // One more end of its own does not make it the cause: the others are explained.
+    record_end(&entry, POLLED, 3);
+    clock.advance(EVALUATION_DELAY);
     assert!(!is_refused(&entry, POLLED));
 }
 
-/// In a pool of nine the third end tells, as before.
+/// In a pool of nine the third end is enough.
 #[test]
-fn larger_pool() {
+fn third_end_in_larger_pool() {
     let (clock, entry) = with_pools(9, 3);
     for endpoint in 0..3 {
         clock.advance(Millis(100));
-        ended(&entry, ENDING, endpoint);
+        record_end(&entry, CRASHING, endpoint);
     }
-    clock.advance(JUDGED);
-    assert!(is_refused(&entry, ENDING));
+    clock.advance(EVALUATION_DELAY);
+    assert!(is_refused(&entry, CRASHING));
 }
