--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -1,4 +1,5 @@
-//! What endpoints announce of themselves: it goes before what the list says, and holds for the life that said it.
+//! What endpoints announce in their answers takes precedence over the list, and holds for the
+//! incarnation that announced it.
 
 mod common;
 
@@ -22,8 +23,8 @@
     }
 }
 
-/// The endpoint `a` as listed, of a life that began at `born`.
-fn life(born: Option<u64>, revision: u64) -> ListedEndpoint {
+/// The endpoint `a` as listed, of an incarnation that started at `born`.
+fn incarnation(born: Option<u64>, revision: u64) -> ListedEndpoint {
     ListedEndpoint {
         born,
         ..listed("a", revision)
@@ -37,10 +38,10 @@
     }
 }
 
-/// A directory that holds `a`, which announced something at 0.
+/// A directory that holds `a`, which announced something at time 0.
 fn announced(born: Option<u64>, announcement: Announcement) -> Directory {
     let mut directory = Directory::default();
-    directory.apply(Change::Put(life(born, 1)), Millis(0));
+    directory.apply(Change::Put(incarnation(born, 1)), Millis(0));
     let key = directory.key("a").unwrap();
     directory.record_announcement(key, announcement, Millis(0), LONGEST);
     directory
@@ -52,23 +53,24 @@
 }
 
 #[test]
-fn leaving_life() {
+fn leaving_incarnation() {
     let mut directory = announced(Some(100), LEAVES);
     assert!(!accepts_requests(&directory, 0));
-    directory.apply(Change::Put(life(Some(100), 2)), Millis(10));
+    directory.apply(Change::Put(incarnation(Some(100), 2)), Millis(10));
     assert!(!accepts_requests(&directory, 10), "another entry of it");
-    directory.replace(vec![life(Some(100), 2)], 3, Millis(20));
+    directory.replace(vec![incarnation(Some(100), 2)], 3, Millis(20));
     assert!(!accepts_requests(&directory, 20), "a whole listing");
     directory.apply(removed(4), Millis(30));
-    directory.apply(Change::Put(life(Some(100), 5)), Millis(40));
+    directory.apply(Change::Put(incarnation(Some(100), 5)), Millis(40));
     assert!(!accepts_requests(&directory, 40), "its entry went and came");
-    directory.apply(Change::Put(life(Some(200), 6)), Millis(50));
+    directory.apply(Change::Put(incarnation(Some(200), 6)), Millis(50));
     assert!(accepts_requests(&directory, 50), "another life");
 }
 
-/// Whoever says that it leaves does not get the grace of an entry that lapsed while the list was away.
+/// An endpoint that announced that it leaves gets no grace period when its entry expires while the
+/// list is unavailable.
 #[test]
-fn no_grace() {
+fn no_grace_for_leaving() {
     let mut directory = announced(None, LEAVES);
     directory.list_unavailable();
     assert!(directory.apply(removed(2), Millis(10)).is_some());
@@ -79,23 +81,23 @@
 }
 
 #[test]
-fn resting_life() {
+fn resting_incarnation() {
     let mut directory = announced(Some(100), rest(10_000));
     assert!(!accepts_requests(&directory, 9_999));
     assert!(accepts_requests(&directory, 10_000));
     let gone = directory.apply(removed(2), Millis(100) + LAPSE_GRACE);
     assert!(gone.is_some());
-    directory.apply(Change::Put(life(Some(100), 3)), Millis(5_000));
+    directory.apply(Change::Put(incarnation(Some(100), 3)), Millis(5_000));
     assert!(
         !accepts_requests(&directory, 5_000),
         "its entry went and came"
     );
-    directory.apply(Change::Put(life(Some(200), 4)), Millis(6_000));
+    directory.apply(Change::Put(incarnation(Some(200), 4)), Millis(6_000));
     assert!(accepts_requests(&directory, 6_000), "another life");
 }
 
 #[test]
-fn latest_end() {
+fn latest_rest_counts() {
     let mut announced = AnnouncedState::default();
     announced.apply(rest(5_000), Millis(0), LONGEST);
     announced.apply(rest(500), Millis(100), LONGEST);
@@ -104,9 +106,9 @@
     assert_eq!(announced.rests_until, Millis(200) + LONGEST);
 }
 
-/// The memory of lives whose entries went is bounded: the oldest is dropped.
+/// The number of remembered incarnations is bounded: the oldest is dropped.
 #[test]
-fn bounded_memory() {
+fn former_incarnations_are_bounded() {
     let mut former = FormerIncarnations::default();
     let leaves = AnnouncedState {
         leaves: true,
