--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that starts again under its identity: nothing of its earlier life counts.
+//! An endpoint that restarts under the same id: nothing of its earlier incarnation counts.
 
 mod common;
 
@@ -17,7 +17,7 @@
     delicate: 0,
 };
 
-fn life(id: &str, born: u64, revision: u64) -> ListedEndpoint {
+fn incarnation(id: &str, born: u64, revision: u64) -> ListedEndpoint {
     ListedEndpoint {
         born: Some(born),
         ..listed(id, revision)
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn another_endpoint() {
+fn new_incarnation_replaces_old() {
     let mut directory = Directory::default();
-    directory.apply(Change::Put(life("a", 100, 1)), Millis(0));
+    directory.apply(Change::Put(incarnation("a", 100, 1)), Millis(0));
     let before = key(&directory);
-    let gone = directory.apply(Change::Put(life("a", 200, 2)), Millis(10));
+    let gone = directory.apply(Change::Put(incarnation("a", 200, 2)), Millis(10));
     assert_eq!(gone, Some(before));
     assert_ne!(key(&directory), before);
     assert!(
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn same_life() {
+fn same_incarnation() {
     let mut directory = Directory::default();
-    directory.apply(Change::Put(life("a", 100, 1)), Millis(0));
+    directory.apply(Change::Put(incarnation("a", 100, 1)), Millis(0));
     let before = key(&directory);
     for (n, born) in [Some(100), None, Some(100)].into_iter().enumerate() {
         let listed = ListedEndpoint {
@@ -57,27 +57,27 @@
     assert_eq!(key(&directory), before, "an entry without it tells nothing");
 }
 
-/// An old entry that comes late does not bring the earlier life back.
+/// An old entry that arrives late does not bring the earlier incarnation back.
 #[test]
-fn late_old_entry() {
+fn late_entry_is_ignored() {
     let mut directory = Directory::default();
-    directory.apply(Change::Put(life("a", 200, 5)), Millis(0));
+    directory.apply(Change::Put(incarnation("a", 200, 5)), Millis(0));
     let now = key(&directory);
     assert_eq!(
-        directory.apply(Change::Put(life("a", 100, 4)), Millis(1)),
+        directory.apply(Change::Put(incarnation("a", 100, 4)), Millis(1)),
         None
     );
     assert_eq!(key(&directory), now);
 }
 
-/// Peers tell of work and placements by a digest that is another one for each life.
+/// Peers report work and placements under a digest that differs for each incarnation.
 #[test]
-fn digest_of_life() {
+fn digest_per_incarnation() {
     assert_ne!(digest("a", Some(100)), digest("a", Some(200)));
     assert_eq!(digest("a", Some(100)), digest("a", Some(100)));
     let mut directory = Directory::default();
-    directory.apply(Change::Put(life("a", 100, 1)), Millis(0));
-    directory.apply(Change::Put(life("a", 200, 2)), Millis(0));
+    directory.apply(Change::Put(incarnation("a", 100, 1)), Millis(0));
+    directory.apply(Change::Put(incarnation("a", 200, 2)), Millis(0));
     assert_eq!(directory.by_digest(digest("a", Some(100))), None);
     assert_eq!(
         directory.by_digest(digest("a", Some(200))),
@@ -85,11 +85,11 @@
     );
 }
 
-/// Load, record and kept parts are forgotten with the life that they were of.
+/// Load, record and kept prompt parts are forgotten with the incarnation that they belong to.
 #[test]
-fn holds_nothing() {
+fn new_incarnation_starts_empty() {
     let (clock, entry) = entry();
-    entry.apply_listing(vec![life("a", 100, 1)], 1);
+    entry.apply_listing(vec![incarnation("a", 100, 1)], 1);
     let before = key(&entry.directory());
     let placed = entry.begin_run(before, "pool", FOOTPRINT, Fingerprint(1));
     entry.endpoint_failed(before, Fault::Contact, "test");
@@ -97,7 +97,7 @@
     let parts = [Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 9 }];
     let ids = parts.iter().map(|part| part.id);
     entry.prefixes.borrow_mut().note(before, ids, now, now);
-    entry.apply_changes(vec![Change::Put(life("a", 200, 2))], 2);
+    entry.apply_changes(vec![Change::Put(incarnation("a", 200, 2))], 2);
     let after = key(&entry.directory());
     let endpoint_states = entry.endpoint_states();
     let endpoint_state = endpoint_states.get(after).unwrap();
@@ -107,7 +107,7 @@
     assert_eq!(kept.sent, 0);
     assert!(endpoint_states.get(before).is_none());
     drop(endpoint_states);
-    // The end of what ran in the earlier life changes nothing in the new one.
+    // The end of a run of the earlier incarnation changes nothing in the new one.
     drop(placed);
     assert_eq!(
         entry
