--- a/tests/endpoint_rest.rs
+++ b/tests/endpoint_rest.rs
@@ -1,4 +1,4 @@
-//! An endpoint behind a sidecar that asks for rest.
+//! An endpoint behind a sidecar that asks for a rest, during which it gets no work.
 
 use violetline::clock::Millis;
 use violetline::health::Breaker;
@@ -6,18 +6,18 @@
 const SLOTS: u32 = 8;
 
 #[test]
-fn nothing_meanwhile() {
+fn no_work_during_rest() {
     let mut breaker = Breaker::default();
     breaker.asked_for_rest(Millis(3_000));
     assert_eq!(breaker.allowance(Millis(500), SLOTS), (0, Millis(2_500)));
-    // Answers that were under way end it no sooner, nor does a shorter time.
+    // Neither answers to earlier requests nor a shorter rest end it sooner.
     breaker.succeeded();
     breaker.asked_for_rest(Millis(1_000));
     assert_eq!(breaker.allowance(Millis(2_999), SLOTS).0, 0);
 }
 
 #[test]
-fn one_afterwards() {
+fn one_request_after_rest() {
     let mut breaker = Breaker::default();
     breaker.asked_for_rest(Millis(3_000));
     assert_eq!(breaker.allowance(Millis(3_000), SLOTS), (1, Millis(0)));
@@ -25,9 +25,9 @@
     assert_eq!(breaker.allowance(Millis(3_001), SLOTS).0, SLOTS);
 }
 
-/// However often it asks, it has not failed; another life has asked for nothing.
+/// A rest is no failure, however often it is asked for; a new incarnation has asked for none.
 #[test]
-fn no_failure() {
+fn rest_is_no_failure() {
     let mut breaker = Breaker::default();
     for at in 0..10 {
         breaker.asked_for_rest(Millis(at * 100));
