--- a/src/direct/job/turn.rs
+++ b/src/direct/job/turn.rs
@@ -12,17 +12,17 @@
 /// Consecutive ends from which on a copy that has waited in vain for another one is refused rather
 /// than sent.
 const ENDS_TO_REFUSE_AFTER_WAIT: usize = ENDS_TO_SEPARATE;
-/// Longest random delay, in ms, before a request with [`ENDS_TO_SEPARATE`] ends takes its turn. An
-/// end wakes the waiting copies at all entries at once, and the others hear which one starts first
-/// only some milliseconds later.
+/// Longest random delay, in ms, before a request with at least [`ENDS_TO_SEPARATE`] ends takes
+/// its turn. An end wakes the waiting copies at all entries at once, and the others hear which one
+/// starts first only some milliseconds later.
 const TURN_JITTER_MS: u64 = 60;
 
 impl Job<'_> {
     /// Waits while another copy of a suspected request runs anywhere. Returns why the request is
     /// refused; `None` if it may be sent.
     ///
-    /// It waits until the route's target, as long as its answer can still be in time: most waiting
-    /// requests are innocent and get their turn within the time of one answer.
+    /// It waits until the route's target time at most, or until the deadline if that is earlier:
+    /// most waiting requests are innocent and get their turn within the time of one answer.
     pub(super) async fn wait_for_turn(&self) -> Option<RefusalReason> {
         let wait_until = (self.incoming.received_at + self.route().target).min(self.deadline);
         let mut is_delayed = false;
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Whether a check is under way if the endpoint that lost the last run has ended. If the
-    /// request were sent on before the result is known, a request that crashes endpoints would end
-    /// a second one for each first one.
+    /// Whether a check is running that finds out if the endpoint that lost the last run has ended.
+    /// If the request were sent on before the result is known, a request that crashes endpoints
+    /// would end a second one for each first one.
     fn is_end_being_checked(&self) -> bool {
         let last = self.tried.last();
         let endpoint_states = self.entry.endpoint_states();
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -138,7 +138,8 @@
     recent: RecentNotices,
     /// Endpoints that ended lately, under any request.
     ended: EndedIncarnations,
-    /// When this process started; `None` where it knows all ends from before.
+    /// When this process started; set where peers may report ends from before, of which it knows
+    /// only a part.
     process_started: Option<Millis>,
     /// Requests with enough ends to be refused that are not evaluated yet, and when each is due.
     unevaluated: HashMap<Fingerprint, Millis>,
--- a/src/suspicion.rs
+++ b/src/suspicion.rs
@@ -24,7 +24,9 @@
 /// Which incarnation of its endpoint a sidecar sees.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EndpointIncarnation {
+    /// Number of the incarnation, counted from 0 since the sidecar started.
     number: u32,
+    /// Whether this incarnation has ended and no new one has been seen.
     has_ended: bool,
 }
 
