--- a/src/direct/directory.rs
+++ b/src/direct/directory.rs
@@ -308,7 +308,7 @@
 
     /// Whether an availability zone is cordoned, so that its endpoints get no new requests.
     pub fn is_cordoned(&self, zone: &str) -> bool {
-        self.cordons.holds(zone)
+        self.cordons.has(zone)
     }
 
     /// Notes that an endpoint may have started to warm up although its list entry does not say so.
@@ -346,7 +346,7 @@
         let listed = self.endpoints.values().filter(is_listed);
         Listing {
             endpoints: listed.map(|e| e.listed.clone()).collect(),
-            cordons: self.cordons.standing().collect(),
+            cordons: self.cordons.active().collect(),
         }
     }
 
@@ -378,7 +378,7 @@
     /// announcements, and its availability zone is not cordoned.
     fn is_accepting(&self, endpoint: &Endpoint, now: Millis) -> bool {
         let is_willing = endpoint.announced.decline_reason(now).is_none();
-        is_willing && endpoint.status.is_accepting() && !self.cordons.holds(&endpoint.listed.zone)
+        is_willing && endpoint.status.is_accepting() && !self.cordons.has(&endpoint.listed.zone)
     }
 
     /// Notes that the endpoints of a zone that was uncordoned may have to warm up.
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -30,7 +30,7 @@
             endpoint.clone_from(&endpoint_state.id);
             if let Some(rest) = announcement.rest {
                 let until = now + rest.min(longest);
-                endpoint_state.record.asked_for_rest(now, until);
+                endpoint_state.record.requested_backoff(now, until);
             }
         });
         if announcement.leaves && !before.leaves {
--- a/src/direct/job/room.rs
+++ b/src/direct/job/room.rs
@@ -5,14 +5,14 @@
 use crate::clock::Millis;
 use crate::direct::choose::Choice;
 use crate::direct::decision::RefusalReason;
-use crate::direct::room::RoomFor;
+use crate::direct::room::RoomInputs;
 
 impl Job<'_> {
     /// Whether a request that no endpoint has started must not be sent, since the free slots are
     /// kept for more urgent ones. A second attempt gets no precedence over them.
     pub(super) fn must_leave_room(&self, choice: &Choice) -> bool {
         let now = self.entry.clock.now();
-        let is_drawn = rand::random::<f64>() < choice.sent_part;
+        let is_drawn = rand::random::<f64>() < choice.admitted_fraction;
         let leaves = self.has_more_urgent(now) && !self.has_less_urgent(now);
         leaves && !self.may_have_run && !(choice.has_room && is_drawn)
     }
@@ -20,10 +20,10 @@
     /// Whether requests of more urgent bands were seen in the pool lately.
     pub(super) fn has_more_urgent(&self, now: Millis) -> bool {
         let band = self.band();
-        let more_urgent = self
+        let more_urgent_bands = self
             .entry
-            .turnover(&self.pool, |t| t.more_urgent(band, now));
-        more_urgent > 0
+            .turnover(&self.pool, |t| t.more_urgent_bands(band, now));
+        more_urgent_bands > 0
     }
 
     /// Whether the pool gets enough less urgent requests that these are the ones to leave slots
@@ -35,36 +35,38 @@
     }
 
     /// What decides how many slots are left free at endpoints.
-    pub(super) fn room(&self, now: Millis) -> RoomFor {
+    pub(super) fn room(&self, now: Millis) -> RoomInputs {
         let band = self.band();
         let peers = self.entry.peers.borrow();
-        let blind = peers.blind(now);
-        self.entry.turnover(&self.pool, |turnover| RoomFor {
-            more_urgent: turnover.more_urgent(band, now),
+        let visibility_delay = peers.visibility_delay(now);
+        self.entry.turnover(&self.pool, |turnover| RoomInputs {
+            more_urgent_bands: turnover.more_urgent_bands(band, now),
             entries: peers.entries(now),
-            recent: turnover.within(band, blind, now),
+            recent: turnover.recent(band, visibility_delay, now),
         })
     }
 
     /// Records that the request arrived at its pool.
     pub(super) fn record_arrival(&self) {
         let (band, now) = (self.band(), self.entry.clock.now());
-        self.entry.turnover(&self.pool, |t| t.come(band, now));
+        self.entry
+            .turnover(&self.pool, |t| t.record_arrival(band, now));
     }
 
     /// Records the most urgent band of which prompts are being read at the pool's endpoints, for
     /// any entry.
     pub(super) fn record_most_urgent_band(&self, choice: &Choice) {
-        if let Some(band) = choice.read_band {
+        if let Some(band) = choice.most_urgent_unread_band {
             let now = self.entry.clock.now();
-            self.entry.turnover(&self.pool, |t| t.see(band, now));
+            self.entry
+                .turnover(&self.pool, |t| t.record_active_band(band, now));
         }
     }
 
     /// Records that an endpoint refused the request for lack of slots.
     pub(super) fn record_endpoint_refusal(&self) {
         let now = self.entry.clock.now();
-        self.entry.turnover(&self.pool, |t| t.turn_away(now));
+        self.entry.turnover(&self.pool, |t| t.record_rejection(now));
     }
 
     /// Records that the request is refused, if that is for lack of slots.
@@ -78,7 +80,7 @@
         if is_for_room {
             let (band, now) = (self.band(), self.entry.clock.now());
             self.entry
-                .turnover(&self.pool, |t| t.get_nothing(band, now));
+                .turnover(&self.pool, |t| t.record_refusal(band, now));
         }
     }
 }
--- a/src/direct/peers/hello.rs
+++ b/src/direct/peers/hello.rs
@@ -8,7 +8,7 @@
 use super::compact;
 use super::zones::ZoneId;
 use super::PromptPlacement;
-use crate::direct::load::Work;
+use crate::direct::load::EndpointWork;
 
 /// Longest datagram that is sent or read, in bytes: below the usual limit of a packet on a path.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
@@ -54,7 +54,7 @@
     pub leaving: bool,
     /// Whether the sender watches the store and gets answers, and so learns of changes first.
     pub watches: bool,
-    /// Whether the sender is receiving a large answer of the store, for which its proof has to
+    /// Whether the sender is receiving a large response of the store, for which its proof has to
     /// wait.
     pub reads_large: bool,
     /// Bandwidth of the sender's link, in Mbit/s; 0 where it is not known.
@@ -75,7 +75,7 @@
     /// Work at endpoints, by the digest of the endpoint's incarnation. Endpoints without work are
     /// left out.
     #[serde(with = "compact")]
-    pub work: Vec<(u32, Work)>,
+    pub work: Vec<(u32, EndpointWork)>,
     /// Placements of prompts made lately, by the entries in `work_scope`.
     #[serde(rename = "placed")]
     pub placements: Vec<PromptPlacement>,
@@ -98,7 +98,7 @@
     }
     let mut shorter = message.clone();
     shorter.placements.clear();
-    let weight = |work: &Work| Reverse((work.running, work.all_unread()));
+    let weight = |work: &EndpointWork| Reverse((work.running, work.total_unread()));
     shorter.work.sort_by_key(|(_, work)| weight(work));
     loop {
         let bytes = encode_any_length(&shorter)?;
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -8,11 +8,11 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::{Fault, Record};
-use violetline::direct::load::{Footprint, Load};
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
-use violetline::direct::turnover::Recent;
+use violetline::direct::health::{Fault, HealthRecord};
+use violetline::direct::load::{EndpointLoad, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
+use violetline::direct::turnover::RecentActivity;
 
 const NOW: Millis = Millis(10_000);
 /// Bytes of memory of a token, and a link between engines in Mbit/s: 6,300 tokens move in 22 ms.
@@ -20,20 +20,20 @@
     token_bytes: 327_680,
     link_mbps: 740_000,
 };
-const SHARED: [Part; 2] = [part(1, 2_500), part(2, 3_800)];
+const SHARED: [PromptSegment; 2] = [part(1, 2_500), part(2, 3_800)];
 
-const fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+const fn part(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
 /// Endpoints a, b, c, of which a keeps the shared parts and has much to read.
 struct Pool {
     directory: Directory,
-    loads: [Load; 3],
-    records: [Record; 3],
+    loads: [EndpointLoad; 3],
+    records: [HealthRecord; 3],
     prefixes: PrefixMap,
     moves: Option<TransferSpec>,
-    room: RoomFor,
+    room: RoomInputs,
     draw: u64,
 }
 
@@ -49,11 +49,11 @@
             records: Default::default(),
             prefixes: PrefixMap::default(),
             moves: Some(MOVES),
-            room: RoomFor::default(),
+            room: RoomInputs::default(),
             draw: 0,
         };
         let keeper = pool.key("a");
-        pool.prefixes.note(keeper, ids(&SHARED), NOW, NOW);
+        pool.prefixes.record_use(keeper, ids(&SHARED), NOW, NOW);
         pool.loads[0].begin(footprint(60_000), NOW);
         pool
     }
@@ -62,7 +62,7 @@
         self.directory.key(id).unwrap()
     }
 
-    fn choose(&self, parts: &[Part]) -> Choice {
+    fn choose(&self, parts: &[PromptSegment]) -> Choice {
         let demand = Demand {
             band: 2,
             parts,
@@ -74,9 +74,9 @@
                 memory_tokens: 290_000,
                 moves: self.moves,
             }),
-            delicate: 44,
+            pause_sensitivity: 44,
             pause: Millis(200),
-            blind: Millis(0),
+            visibility_delay: Millis(0),
             room: self.room,
             draw: self.draw,
         };
@@ -85,14 +85,14 @@
             endpoint: self.directory.get(self.key(id)).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &self.prefixes, NOW).unwrap()
     }
 }
 
-fn ids(parts: &[Part]) -> impl Iterator<Item = u64> + '_ {
+fn ids(parts: &[PromptSegment]) -> impl Iterator<Item = u64> + '_ {
     parts.iter().map(|part| part.id)
 }
 
@@ -101,11 +101,11 @@
         band: 2,
         unread,
         held: unread,
-        delicate: 44,
+        pause_sensitivity: 44,
     }
 }
 
-fn prompt(own: u64) -> [Part; 3] {
+fn prompt(own: u64) -> [PromptSegment; 3] {
     [SHARED[0], SHARED[1], part(9, own)]
 }
 
@@ -114,8 +114,8 @@
     let pool = Pool::new();
     let choice = pool.choose(&prompt(2_900));
     assert_ne!(choice.key, pool.key("a"), "the keeper is busy");
-    assert_eq!(choice.supply.from, Some(pool.key("a")));
-    assert_eq!(choice.supply.moved, 6_300);
+    assert_eq!(choice.reuse.from, Some(pool.key("a")));
+    assert_eq!(choice.reuse.moved, 6_300);
     assert_eq!(choice.footprint.unread, 2_900);
 }
 
@@ -125,14 +125,14 @@
     pool.loads[0].read(footprint(60_000));
     let choice = pool.choose(&prompt(2_900));
     assert_eq!(choice.key, pool.key("a"));
-    assert_eq!((choice.supply.kept, choice.supply.from), (6_300, None));
+    assert_eq!((choice.reuse.cached, choice.reuse.from), (6_300, None));
 }
 
 #[test]
 fn failing_gives_nothing() {
     let mut pool = Pool::new();
-    pool.records[0].failed(NOW, Fault::Contact);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
+    pool.records[0].failed(NOW, Fault::Unreachable);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
@@ -141,17 +141,17 @@
     let keeper = pool.key("a");
     pool.prefixes.forget(keeper);
     let later = NOW + Millis(300);
-    pool.prefixes.note(keeper, ids(&SHARED), NOW, later);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
-    pool.prefixes.read(keeper, ids(&SHARED), NOW);
-    assert_eq!(pool.choose(&prompt(2_900)).supply.moved, 6_300);
+    pool.prefixes.record_use(keeper, ids(&SHARED), NOW, later);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
+    pool.prefixes.record_prefill(keeper, ids(&SHARED), NOW);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.moved, 6_300);
 }
 
 #[test]
 fn pool_without_moves() {
     let mut pool = Pool::new();
     pool.moves = None;
-    assert_eq!(pool.choose(&prompt(2_900)).supply.from, None);
+    assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
@@ -159,30 +159,30 @@
     let mut pool = Pool::new();
     let keeper = pool.key("a");
     let short = [part(5, 100), part(6, 50)];
-    pool.prefixes.note(keeper, ids(&short), NOW, NOW);
-    assert_eq!(pool.choose(&short).supply.from, None);
+    pool.prefixes.record_use(keeper, ids(&short), NOW, NOW);
+    assert_eq!(pool.choose(&short).reuse.from, None);
 }
 
 /// Where entries draw lots, kept parts are moved to the endpoint that is drawn, as to one that is chosen by its price.
 #[test]
 fn moved_where_drawn() {
     let mut pool = Pool::new();
-    pool.room = RoomFor {
+    pool.room = RoomInputs {
         entries: 9,
-        recent: Recent {
-            offered: 1_000,
-            ..Recent::default()
+        recent: RecentActivity {
+            yielding_arrivals: 1_000,
+            ..RecentActivity::default()
         },
-        more_urgent: 1,
+        more_urgent_bands: 1,
     };
     let keeper = pool.key("a");
     let mut moved = 0;
     for draw in 0..50 {
         pool.draw = draw;
         let choice = pool.choose(&prompt(2_900));
-        assert!(choice.sent_part < 1.0);
+        assert!(choice.admitted_fraction < 1.0);
         if choice.key != keeper {
-            assert_eq!(choice.supply.moved, 6_300, "{choice:?}");
+            assert_eq!(choice.reuse.moved, 6_300, "{choice:?}");
             moved += 1;
         }
     }
--- a/tests/plain_replay.rs
+++ b/tests/plain_replay.rs
@@ -8,14 +8,14 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use violetline::clock::Millis;
-use violetline::direct::admission::PlainOutlook;
+use violetline::direct::admission::PlainAdmission;
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, ListedEndpoint};
-use violetline::direct::health::Record;
-use violetline::direct::load::{Load, Report};
+use violetline::direct::health::HealthRecord;
+use violetline::direct::load::{EndpointLoad, EndpointReport};
 use violetline::direct::prefix::PrefixMap;
-use violetline::direct::room::RoomFor;
+use violetline::direct::room::RoomInputs;
 
 const SLOTS: usize = 6;
 /// Calls that the endpoint lets wait; more are rejected.
@@ -45,8 +45,8 @@
     };
     directory.apply(Change::Put(only), Millis(0));
     let key = directory.key("a").unwrap();
-    let mut loads: Vec<Load> = (0..ENTRIES).map(|_| Load::default()).collect();
-    let mut records = vec![Record::default(); ENTRIES];
+    let mut loads: Vec<EndpointLoad> = (0..ENTRIES).map(|_| EndpointLoad::default()).collect();
+    let mut records = vec![HealthRecord::default(); ENTRIES];
     let mut calls: VecDeque<Call> = VecDeque::new();
     let (mut in_time, mut late) = (0, 0);
     for now in 0..20_000 {
@@ -58,12 +58,12 @@
                 endpoint: directory.get(key).unwrap(),
                 load: &loads[entry],
                 record: &records[entry],
-                warming: false,
+                is_warming: false,
                 is_limited: false,
             };
             let one = std::iter::once(candidate);
             let choice = choose(demand(), one, &PrefixMap::default(), at).unwrap();
-            let outlook = PlainOutlook {
+            let outlook = PlainAdmission {
                 expected_ms: choice.expected_ms,
                 is_full: choice.is_full,
                 target: TARGET,
@@ -91,8 +91,8 @@
             };
             let seen = Millis(now + WAY - call.sent);
             loads[call.entry].end(call.choice.footprint);
-            records[call.entry].began(at, seen, call.choice.usual_ms);
-            loads[call.entry].reported(report(&calls), at);
+            records[call.entry].observe_response_time(at, seen, call.choice.nominal_ms);
+            loads[call.entry].record_report(report(&calls), at);
             match seen <= TARGET {
                 true => in_time += 1,
                 false => late += 1,
@@ -102,9 +102,9 @@
     (in_time, late)
 }
 
-fn report(calls: &VecDeque<Call>) -> Report {
+fn report(calls: &VecDeque<Call>) -> EndpointReport {
     let present = calls.len();
-    Report {
+    EndpointReport {
         running: present.min(SLOTS) as u32,
         waiting: present.saturating_sub(SLOTS) as u32,
         slots: SLOTS as u32,
@@ -119,10 +119,10 @@
         target: TARGET,
         zone: "hall-a",
         engine: None,
-        delicate: 0,
+        pause_sensitivity: 0,
         pause: Millis(0),
-        blind: Millis(150),
-        room: RoomFor::default(),
+        visibility_delay: Millis(150),
+        room: RoomInputs::default(),
         draw: 0,
     }
 }
