--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint by estimated time.
+//! Choice of an endpoint by price.
 
 mod common;
 
@@ -20,7 +20,7 @@
     moves: None,
 };
 
-/// Endpoints a, b, c with their loads and records.
+/// Endpoints a, b and c with their loads and health records.
 struct Pool {
     directory: Directory,
     loads: Vec<EndpointLoad>,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn stays_at_cache() {
+fn cached_prefix_preferred() {
     let mut pool = Pool::new();
     let parts = prompt();
     let other = [parts[0], parts[1], part(9, 500)];
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn leaves_full_cache() {
+fn overloaded_cache_avoided() {
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(1);
@@ -125,9 +125,9 @@
     assert_ne!(pool.choose(demand(&parts)).key, key);
 }
 
-/// A short queue does not drive a prompt from where it is kept.
+/// A prompt stays at the endpoint that has its prefix cached, despite a short queue there.
 #[test]
-fn known_place_holds() {
+fn short_queue_keeps_cache() {
     let mut pool = Pool::new();
     let parts = prompt();
     let first = pool.choose(demand(&parts)).key;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn long_avoids_delicate() {
+fn long_prompt_avoids_streams() {
     let mut pool = Pool::new();
     let parts = [part(1, 9_000)];
     for _ in 0..5 {
@@ -149,9 +149,10 @@
     assert_eq!(pool.choose(demand(&parts)).key, pool.key(2));
 }
 
-/// Delicate streams and long prompts that come by turns never meet while there is room apart.
+/// Latency-sensitive streams and long prompts that arrive in turns are never placed on the same
+/// endpoint while there is enough capacity to separate them.
 #[test]
-fn delicate_and_long_part() {
+fn streams_and_long_prompts_separate() {
     let mut pool = Pool::new();
     let long = [part(1, 9_000)];
     let short = [part(2, 500)];
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn slots_bound_crowding() {
+fn full_batch_avoided() {
     let mut pool = Pool::new();
     let parts = [part(1, 500)];
     for i in [0, 2] {
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn own_zone_first() {
+fn own_zone_preferred() {
     let mut pool = Pool::new();
     for id in ["a", "b"] {
         let far = ListedEndpoint {
@@ -259,7 +260,8 @@
     assert_ne!(pool.choose(demand(&parts)).key, key);
 }
 
-/// Prompts beyond any engine's memory are estimated and counted like others.
+/// Prompts larger than the memory of any engine are estimated and counted like others; the counts
+/// saturate.
 #[test]
 fn huge_prompts() {
     let mut pool = Pool::new();
@@ -272,16 +274,16 @@
     assert_eq!(pool.loads[0].total(NOW).running, 3);
 }
 
-/// A delay far below the target costs less than the streams that reading would make late.
+/// A delay far below the target costs less than delaying streams by prefill.
 #[test]
-fn target_leaves_room() {
+fn slack_spares_streams() {
     let mut pool = Pool::new();
     let parts = [part(1, 4_000)];
     let stream = Footprint {
         band: 0,
         ..footprint(0, 100)
     };
-    // More streams than are kept apart.
+    // More streams than the pool reserves endpoints for.
     for _ in 0..6 {
         pool.loads[0].begin(stream, NOW);
         pool.loads[2].begin(stream, NOW);
