--- a/tests/direct_freshness.rs
+++ b/tests/direct_freshness.rs
@@ -1,4 +1,4 @@
-//! The age of what a direct entry knows is never told too young.
+//! The reported age of an entry's configuration is never less than its real age.
 
 use violetline::clock::Millis;
 use violetline::direct::freshness::Freshness;
@@ -36,8 +36,8 @@
     assert_eq!(freshness.age(Millis(6_000)), Some(Millis(2_500)));
 }
 
-/// Whatever is passed on between two clocks, and however long each message lies in a buffer, a
-/// proof is at least as old as the question to the store.
+/// However a proof is forwarded between two clocks, and however long each message lies in a buffer,
+/// it is at least as old as the question to the store.
 #[test]
 fn never_too_young() {
     arbtest::arbtest(|u| {
