--- a/tests/direct_health.rs
+++ b/tests/direct_health.rs
@@ -1,10 +1,10 @@
-//! Health of endpoints by real work.
+//! Health of endpoints, as observed through real requests.
 
 use violetline::clock::Millis;
 use violetline::direct::health::{Fault, Grade, HealthRecord};
 
 #[test]
-fn three_failures() {
+fn three_failures_eject() {
     let mut record = HealthRecord::default();
     assert!(!record.failed(Millis(0), Fault::Answer));
     assert!(!record.failed(Millis(0), Fault::Answer));
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn unreachable_at_once() {
+fn unreachable_ejected_at_once() {
     let mut record = HealthRecord::default();
     assert!(record.failed(Millis(0), Fault::Unreachable));
     assert!(record.is_ejected());
 }
 
 #[test]
-fn half_failing() {
+fn half_failing_ejected() {
     let mut record = HealthRecord::default();
     for _ in 0..20 {
         record.failed(Millis(0), Fault::Answer);
@@ -31,9 +31,9 @@
     assert!(record.is_ejected());
 }
 
-/// A share of failures that is usual for a service does not set its endpoints aside for good.
+/// A failure rate that is normal for a service does not eject its endpoints.
 #[test]
-fn seldom_failing() {
+fn seldom_failing_kept() {
     let mut record = HealthRecord::default();
     for i in 0..70 {
         if i % 7 == 0 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn trials_grow_apart() {
+fn trials_are_spaced_out() {
     let mut record = HealthRecord::default();
     record.failed(Millis(0), Fault::Unreachable);
     record.failed(Millis(700), Fault::Answer);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn slowness_forgotten() {
+fn slowness_decays() {
     let mut record = HealthRecord::default();
     for _ in 0..30 {
         record.observe_response_time(Millis(1_000), Millis(500), 100.0);
@@ -69,9 +69,10 @@
     assert!(record.slowness(Millis(60_000)) < 1.1);
 }
 
-/// After its time of rest an endpoint is tried with one request; one that asks again at each trial is left for longer.
+/// After its back-off an endpoint is tried with one request; one that asks again at each trial is
+/// left alone for longer each time.
 #[test]
-fn tried_after_rest() {
+fn tried_after_backoff() {
     let mut record = HealthRecord::default();
     record.requested_backoff(Millis(0), Millis(3_000));
     assert_eq!(record.grade(Millis(2_999)), Grade::Poor);
@@ -90,9 +91,10 @@
     assert_eq!(last, Millis(6_000));
 }
 
-/// A rest that ends sooner, asked for by an answer that was under way, does not end an earlier one.
+/// A shorter back-off, requested by a response that was still in transit, does not cut an earlier
+/// one short.
 #[test]
-fn later_rest_counts() {
+fn longer_backoff_counts() {
     let mut record = HealthRecord::default();
     record.requested_backoff(Millis(0), Millis(3_000));
     record.requested_backoff(Millis(50), Millis(1_000));
