--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -1,5 +1,6 @@
-//! Where prompts go whose parts nobody is known to keep, and how streams spread when load is at its worst
-//! and entries don't see each other's choices: load patterns replayed against the choice alone.
+//! Placement of prompts whose prefix no endpoint is known to have cached, and of streams under peak
+//! load while entries don't see each other's choices. Load patterns are replayed against the choice
+//! of endpoints alone.
 
 mod common;
 
@@ -24,7 +25,7 @@
     moves: None,
 };
 
-/// One entry: what it believes of the endpoints of a pool.
+/// One entry, with its knowledge of the endpoints of a pool.
 struct Entry {
     directory: Directory,
     keys: Vec<EndpointKey>,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Position of the endpoint that is chosen at a time; the request is taken into account.
+    /// Position of the endpoint that is chosen at `now`; the request is added to its load.
     fn place(&mut self, demand: Demand<'_>, now: Millis) -> (usize, Choice) {
         let candidates = self.keys.iter().enumerate().map(|(i, key)| Candidate {
             key: *key,
@@ -68,7 +69,7 @@
     }
 }
 
-/// A long prompt of a session: two shared parts, and one of its own.
+/// A long prompt of a session: two shared segments, and one of its own.
 fn prompt(session: u64, request: u64) -> [PromptSegment; 3] {
     let part = |id, tokens| PromptSegment { id, tokens };
     [
@@ -78,7 +79,7 @@
     ]
 }
 
-fn coarse(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
+fn long_prompt(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -94,24 +95,28 @@
     }
 }
 
-fn urgent(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
+fn urgent_stream(parts: &[PromptSegment], draw: u64, visibility_delay: Millis) -> Demand<'_> {
     Demand {
         band: 0,
         output_tokens: 280,
         target: Millis(400),
         pause_sensitivity: 100,
-        ..coarse(parts, draw, visibility_delay)
+        ..long_prompt(parts, draw, visibility_delay)
     }
 }
 
-/// Entries that know nothing of each other send a session's prompts to one endpoint, and spread sessions
-/// over all.
+/// Entries without knowledge of each other send a session's prompts to the same endpoint, and
+/// distribute sessions over all endpoints.
 #[test]
-fn home_alike() {
+fn entries_agree_on_home() {
     let mut homes = HashMap::new();
     for session in 0..600 {
         let parts = prompt(session, session);
-        let place = |draw| Entry::new(12).place(coarse(&parts, draw, Millis(0)), NOW).0;
+        let place = |draw| {
+            Entry::new(12)
+                .place(long_prompt(&parts, draw, Millis(0)), NOW)
+                .0
+        };
         let home = place(session);
         assert_eq!(home, place(session + 9));
         *homes.entry(home).or_insert(0) += 1;
@@ -120,25 +125,29 @@
     assert!(homes.values().all(|n| (25..=85).contains(n)), "{homes:?}");
 }
 
-/// Where the home is set aside, all take the same other endpoint.
+/// If the home is ejected, all entries choose the same other endpoint.
 #[test]
-fn failing_home() {
+fn failing_home_avoided() {
     let parts = prompt(7, 1);
-    let home = Entry::new(12).place(coarse(&parts, 1, Millis(0)), NOW).0;
+    let home = Entry::new(12)
+        .place(long_prompt(&parts, 1, Millis(0)), NOW)
+        .0;
     let place = |draw| {
         let mut entry = Entry::new(12);
         entry.records[home].failed(NOW, Fault::Unreachable);
-        entry.place(coarse(&parts, draw, Millis(0)), NOW).0
+        entry.place(long_prompt(&parts, draw, Millis(0)), NOW).0
     };
     assert_ne!(place(1), home);
     assert_eq!(place(1), place(2));
 }
 
-/// A busy home is left where a request would be late there.
+/// A busy home is avoided if a request would be late there.
 #[test]
-fn busy_home() {
+fn busy_home_avoided() {
     let parts = prompt(7, 1);
-    let home = Entry::new(12).place(coarse(&parts, 1, Millis(0)), NOW).0;
+    let home = Entry::new(12)
+        .place(long_prompt(&parts, 1, Millis(0)), NOW)
+        .0;
     let mut entry = Entry::new(12);
     let queued = Footprint {
         band: 0,
@@ -147,11 +156,12 @@
         pause_sensitivity: 0,
     };
     entry.loads[home].begin(queued, NOW);
-    assert_ne!(entry.place(coarse(&parts, 1, Millis(0)), NOW).0, home);
+    assert_ne!(entry.place(long_prompt(&parts, 1, Millis(0)), NOW).0, home);
 }
 
-/// The first seconds of a day with twice the usual reviews: 20 entries that hear nothing of each other's
-/// placements have each session's parts read at 1.5 endpoints in the mean, not at one each.
+/// Guards against repeated prefill at the start of a day with twice the usual load of long prompts:
+/// 20 entries that hear nothing of each other's placements have each session's shared segments
+/// prefilled at no more than 1.5 endpoints on average.
 #[test]
 fn cold_start() {
     let mut entries: Vec<Entry> = (0..20).map(|_| Entry::new(30)).collect();
@@ -161,12 +171,12 @@
         let session = request * 7 % 120;
         let parts = prompt(session, request);
         let entry = &mut entries[(request / 120 % 20) as usize];
-        let (i, choice) = entry.place(coarse(&parts, request, Millis(450)), now);
+        let (i, choice) = entry.place(long_prompt(&parts, request, Millis(450)), now);
         let at = read_at.entry(session).or_default();
         if !at.contains(&i) {
             at.push(i);
         }
-        // The engines keep up: each prompt is read before the entry's next one.
+        // The engines keep up: each prompt is prefilled before the entry's next one.
         entry.loads[i].read(choice.footprint);
         entry.loads[i].end(choice.footprint);
     }
@@ -178,10 +188,11 @@
     );
 }
 
-/// A burst of urgent streams while all endpoints but three read prompts, and entries see each other's choices
-/// late: these three are not filled, although half of all slots would do for the streams.
+/// Guards against filling a few idle endpoints: urgent streams arrive in a burst while all
+/// endpoints but three are prefilling, and other entries' choices are visible only late. The three
+/// must not be filled, since half of all slots suffices for the streams.
 #[test]
-fn blind_burst() {
+fn burst_with_delayed_visibility() {
     let (endpoints, streams) = (30, 900);
     let visibility_delay = Millis(450);
     let mut entries: Vec<Entry> = (0..20).map(|_| Entry::new(endpoints)).collect();
@@ -197,7 +208,7 @@
             entry.loads[i].read(reading);
         }
     }
-    tell_all(&mut entries, NOW);
+    exchange_loads(&mut entries, NOW);
     let mut streams_at = vec![0; endpoints];
     for n in 0..streams {
         let now = NOW + Millis(n * 3);
@@ -212,19 +223,19 @@
             },
         ];
         let entry = &mut entries[(n * 7 % 20) as usize];
-        let (i, _) = entry.place(urgent(&parts, n, visibility_delay), now);
+        let (i, _) = entry.place(urgent_stream(&parts, n, visibility_delay), now);
         streams_at[i] += 1;
         if n % 150 == 149 {
-            tell_all(&mut entries, now);
+            exchange_loads(&mut entries, now);
         }
     }
-    let gathered: i32 = streams_at[..3].iter().sum();
-    assert!(gathered <= 110, "{streams_at:?}");
+    let on_idle_endpoints: i32 = streams_at[..3].iter().sum();
+    assert!(on_idle_endpoints <= 110, "{streams_at:?}");
     assert!(streams_at.iter().all(|n| *n < 64), "{streams_at:?}");
 }
 
-/// Every entry tells all others its work.
-fn tell_all(entries: &mut [Entry], now: Millis) {
+/// Every entry reports its work to all others.
+fn exchange_loads(entries: &mut [Entry], now: Millis) {
     for from in 0..entries.len() {
         let own: Vec<_> = entries[from]
             .loads
