--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are kept for delicate streams.
+//! Endpoints that are reserved for latency-sensitive streams.
 
 mod common;
 
@@ -20,10 +20,10 @@
     memory_tokens: 290_000,
     moves: None,
 };
-/// Prompt tokens that an endpoint reads in a millisecond.
-const READS: f64 = 50.0;
+/// Prompt tokens that an endpoint prefills per millisecond.
+const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
-/// Endpoints of 64 slots.
+/// A pool of endpoints with 64 slots each.
 struct Pool {
     directory: Directory,
     keys: Vec<EndpointKey>,
@@ -62,12 +62,13 @@
         (0..self.keys.len()).map(candidate).collect()
     }
 
-    /// Positions of the endpoints that are kept for delicate streams.
-    fn kept(&self) -> Vec<usize> {
-        let all: Vec<CandidateState<'_>> = self.candidates().into_iter().map(see).collect();
-        let lanes = StreamPartition::compute(&all, READS);
-        let is_kept = |i: &usize| lanes.is_reserved(self.keys[*i]);
-        (0..self.keys.len()).filter(is_kept).collect()
+    /// Positions of the endpoints that are reserved for latency-sensitive streams.
+    fn reserved(&self) -> Vec<usize> {
+        let all: Vec<CandidateState<'_>> =
+            self.candidates().into_iter().map(candidate_state).collect();
+        let partition = StreamPartition::compute(&all, PREFILL_TOKENS_PER_MS);
+        let is_reserved = |i: &usize| partition.is_reserved(self.keys[*i]);
+        (0..self.keys.len()).filter(is_reserved).collect()
     }
 
     fn begin(&mut self, i: usize, footprint: Footprint) {
@@ -83,7 +84,7 @@
     }
 }
 
-fn see(candidate: Candidate<'_>) -> CandidateState<'_> {
+fn candidate_state(candidate: Candidate<'_>) -> CandidateState<'_> {
     CandidateState {
         total: candidate.load.total(NOW),
         cached_tokens: 0,
@@ -94,8 +95,9 @@
     }
 }
 
-/// A stream with the tightest pauses, at an entry that does not see others' choices yet.
-fn urgent(parts: &[PromptSegment], draw: u64) -> Demand<'_> {
+/// A stream with the shortest allowed pause, at an entry that does not see other entries' choices
+/// yet.
+fn urgent_demand(parts: &[PromptSegment], draw: u64) -> Demand<'_> {
     Demand {
         band: 0,
         parts,
@@ -111,7 +113,7 @@
     }
 }
 
-fn stream() -> Footprint {
+fn urgent_stream() -> Footprint {
     Footprint {
         band: 0,
         unread: 500,
@@ -130,53 +132,57 @@
 }
 
 #[test]
-fn follows_load() {
+fn partition_follows_load() {
     let mut pool = Pool::new(12);
-    assert_eq!(pool.kept().len(), 1, "room for the first stream");
+    assert_eq!(pool.reserved().len(), 1, "room for the first stream");
     for i in 0..12 {
         pool.begin(i, long_prompt());
     }
-    assert_eq!(pool.kept().len(), 1);
+    assert_eq!(pool.reserved().len(), 1);
     for i in 0..30 {
-        pool.begin(i % 3, stream());
+        pool.begin(i % 3, urgent_stream());
     }
-    let some = pool.kept().len();
+    let some = pool.reserved().len();
     assert!((2..=6).contains(&some), "{some} of 12");
     for i in 0..5 {
-        pool.begin(i, stream());
+        pool.begin(i, urgent_stream());
     }
-    assert!(pool.kept().is_empty(), "too many streams to be kept apart");
+    assert!(
+        pool.reserved().is_empty(),
+        "too many streams to be kept apart"
+    );
 }
 
-/// In a large pool streams are kept apart up to a third of it: long prompts find room on the rest.
+/// In a large pool, up to nearly a third of the endpoints is reserved for streams, because the
+/// others have capacity for long prompts.
 #[test]
-fn large_pool_parts() {
+fn large_pool_partitioned() {
     for (count, streams, parts) in [(12, 60, false), (180, 900, true), (180, 1_500, false)] {
         let mut pool = Pool::new(count);
         for i in 0..count {
             pool.begin(i, long_prompt());
         }
         for i in 0..streams {
-            pool.begin(i % count, stream());
+            pool.begin(i % count, urgent_stream());
         }
-        assert_eq!(!pool.kept().is_empty(), parts, "{streams} on {count}");
+        assert_eq!(!pool.reserved().is_empty(), parts, "{streams} on {count}");
     }
 }
 
-/// More load adds endpoints to those kept and takes none away, so entries disagree on few, until
-/// there are too many streams to be kept apart.
+/// More load adds endpoints to those reserved and removes none, so that entries disagree about few,
+/// until there are too many streams to reserve endpoints for.
 #[test]
 fn grows_in_order() {
     let mut pool = Pool::new(40);
     for i in 0..40 {
         pool.begin(i, long_prompt());
     }
-    let mut before = pool.kept();
+    let mut before = pool.reserved();
     for _ in 0..10 {
         for _ in 0..10 {
-            pool.begin(0, stream());
+            pool.begin(0, urgent_stream());
         }
-        let now = pool.kept();
+        let now = pool.reserved();
         assert!(before.iter().all(|i| now.contains(i)));
         before = now;
     }
@@ -184,18 +190,19 @@
 }
 
 #[test]
-fn failing_not_kept() {
+fn failing_not_reserved() {
     let mut pool = Pool::new(4);
     for _ in 0..2 {
-        let kept = pool.kept();
-        assert_eq!(kept.len(), 1);
-        pool.records[kept[0]].failed(NOW, Fault::Unreachable);
-        assert_ne!(pool.kept(), kept);
+        let reserved = pool.reserved();
+        assert_eq!(reserved.len(), 1);
+        pool.records[reserved[0]].failed(NOW, Fault::Unreachable);
+        assert_ne!(pool.reserved(), reserved);
     }
-    assert!(Pool::new(1).kept().is_empty());
+    assert!(Pool::new(1).reserved().is_empty());
 }
 
-/// A burst of streams takes endpoints over from long prompts before it fills any to its slots.
+/// A burst of streams takes over endpoints from long prompts before it fills any of them
+/// completely.
 #[test]
 fn burst_spreads() {
     let mut pool = Pool::new(12);
@@ -206,8 +213,8 @@
     }
     let parts = [PromptSegment { id: 1, tokens: 500 }];
     for draw in 0..400 {
-        let i = pool.choose(urgent(&parts, draw));
-        pool.begin(i, stream());
+        let i = pool.choose(urgent_demand(&parts, draw));
+        pool.begin(i, urgent_stream());
         let running = pool.loads[i].total(NOW).pause_sensitivity / 100;
         assert!(running < 64, "{running} streams at one endpoint");
     }
@@ -218,9 +225,9 @@
     assert!(all_take, "some endpoint takes none");
 }
 
-/// Entries that know the same and choose at the same moment choose different endpoints.
+/// Entries with the same knowledge that choose at the same moment choose different endpoints.
 #[test]
-fn unseen_choices_part() {
+fn invisible_choices_spread() {
     let pool = Pool::new(12);
     let parts = [PromptSegment {
         id: 1,
@@ -232,7 +239,7 @@
             band: 2,
             output_tokens: 50,
             pause_sensitivity: 6,
-            ..urgent(&parts, draw)
+            ..urgent_demand(&parts, draw)
         };
         chosen[pool.choose(demand)] += 1;
     }
