--- a/tests/direct_load.rs
+++ b/tests/direct_load.rs
@@ -1,11 +1,11 @@
-//! The load of an endpoint: what others told of it, and for how long that counts.
+//! Load of an endpoint: what other entries report of it, and for how long that counts.
 
 use violetline::clock::Millis;
 use violetline::direct::load::{EndpointLoad, EndpointWork, LoadSource};
 use violetline::direct::peers::{PeerId, ZoneId};
 
 const PEER: LoadSource = LoadSource::Peer(PeerId(1));
-const LASTS: Millis = Millis(1_500);
+const TTL: Millis = Millis(1_500);
 
 fn zone() -> LoadSource {
     LoadSource::Zone(ZoneId::of("hall-b").unwrap())
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn newest_word_counts() {
+fn latest_report_counts() {
     let mut load = EndpointLoad::default();
-    load.record_remote(PEER, work(3), LASTS, Millis(100));
-    load.record_remote(PEER, work(5), LASTS, Millis(200));
-    load.record_remote(zone(), work(7), LASTS, Millis(200));
+    load.record_remote(PEER, work(3), TTL, Millis(100));
+    load.record_remote(PEER, work(5), TTL, Millis(200));
+    load.record_remote(zone(), work(7), TTL, Millis(200));
     assert_eq!(load.total(Millis(300)).running, 12);
     assert_eq!(
         load.zone_total(Millis(300)).running,
@@ -35,20 +35,21 @@
 }
 
 #[test]
-fn words_lapse() {
+fn reports_expire() {
     let mut load = EndpointLoad::default();
-    load.record_remote(PEER, work(3), LASTS, Millis(100));
+    load.record_remote(PEER, work(3), TTL, Millis(100));
     load.record_remote(zone(), work(7), Millis(4_000), Millis(100));
     assert_eq!(load.total(Millis(1_599)).running, 10);
     assert_eq!(load.total(Millis(1_600)).running, 7);
     assert_eq!(load.total(Millis(4_100)).running, 0);
 }
 
-/// An endpoint that a teller leaves out is at rest, but what it read lately is not forgotten at once.
+/// An endpoint that a source no longer lists is idle, but the pressure of what it prefilled lately
+/// decays gradually.
 #[test]
-fn rest_fades() {
+fn idle_pressure_decays() {
     let mut load = EndpointLoad::default();
-    load.record_remote(PEER, work(3), LASTS, Millis(0));
+    load.record_remote(PEER, work(3), TTL, Millis(0));
     load.record_remote_idle(PEER, Millis(1_000));
     let left = load.total(Millis(1_000));
     assert_eq!((left.running, left.held), (0, 0));
