--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -1,4 +1,4 @@
-//! Kept parts of prompts that are moved between endpoints instead of being read again.
+//! Cached prefixes that are transferred between endpoints instead of being prefilled again.
 
 mod common;
 
@@ -15,7 +15,8 @@
 use violetline::direct::turnover::RecentActivity;
 
 const NOW: Millis = Millis(10_000);
-/// Bytes of memory of a token, and a link between engines in Mbit/s: 6,300 tokens move in 22 ms.
+/// Memory per token in bytes, and a link between engines in Mbit/s: 6,300 tokens are transferred in
+/// 22 ms.
 const MOVES: TransferSpec = TransferSpec {
     token_bytes: 327_680,
     link_mbps: 740_000,
@@ -26,7 +27,7 @@
     PromptSegment { id, tokens }
 }
 
-/// Endpoints a, b, c, of which a keeps the shared parts and has much to read.
+/// Endpoints a, b and c; a has the shared segments cached and much to prefill.
 struct Pool {
     directory: Directory,
     loads: [EndpointLoad; 3],
@@ -52,8 +53,8 @@
             room: RoomInputs::default(),
             draw: 0,
         };
-        let keeper = pool.key("a");
-        pool.prefixes.record_use(keeper, ids(&SHARED), NOW, NOW);
+        let holder = pool.key("a");
+        pool.prefixes.record_use(holder, ids(&SHARED), NOW, NOW);
         pool.loads[0].begin(footprint(60_000), NOW);
         pool
     }
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn taken_from_keeper() {
+fn transferred_from_busy_holder() {
     let pool = Pool::new();
     let choice = pool.choose(&prompt(2_900));
     assert_ne!(choice.key, pool.key("a"), "the keeper is busy");
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn free_keeper_first() {
+fn idle_holder_preferred() {
     let mut pool = Pool::new();
     pool.loads[0].read(footprint(60_000));
     let choice = pool.choose(&prompt(2_900));
@@ -129,43 +130,44 @@
 }
 
 #[test]
-fn failing_gives_nothing() {
+fn failing_holder_is_no_source() {
     let mut pool = Pool::new();
     pool.records[0].failed(NOW, Fault::Unreachable);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
-fn unread_gives_nothing() {
+fn unfinished_prefill_is_no_source() {
     let mut pool = Pool::new();
-    let keeper = pool.key("a");
-    pool.prefixes.forget(keeper);
+    let holder = pool.key("a");
+    pool.prefixes.forget(holder);
     let later = NOW + Millis(300);
-    pool.prefixes.record_use(keeper, ids(&SHARED), NOW, later);
+    pool.prefixes.record_use(holder, ids(&SHARED), NOW, later);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
-    pool.prefixes.record_prefill(keeper, ids(&SHARED), NOW);
+    pool.prefixes.record_prefill(holder, ids(&SHARED), NOW);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.moved, 6_300);
 }
 
 #[test]
-fn pool_without_moves() {
+fn pool_without_transfers() {
     let mut pool = Pool::new();
     pool.moves = None;
     assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
-fn short_not_moved() {
+fn short_prefix_not_transferred() {
     let mut pool = Pool::new();
-    let keeper = pool.key("a");
+    let holder = pool.key("a");
     let short = [part(5, 100), part(6, 50)];
-    pool.prefixes.record_use(keeper, ids(&short), NOW, NOW);
+    pool.prefixes.record_use(holder, ids(&short), NOW, NOW);
     assert_eq!(pool.choose(&short).reuse.from, None);
 }
 
-/// Where entries draw lots, kept parts are moved to the endpoint that is drawn, as to one that is chosen by its price.
+/// If entries draw endpoints at random, a cached prefix is transferred to the endpoint that is
+/// drawn, as to one that is chosen by its price.
 #[test]
-fn moved_where_drawn() {
+fn transferred_to_drawn_endpoint() {
     let mut pool = Pool::new();
     pool.room = RoomInputs {
         entries: 9,
@@ -175,13 +177,13 @@
         },
         more_urgent_bands: 1,
     };
-    let keeper = pool.key("a");
+    let holder = pool.key("a");
     let mut moved = 0;
     for draw in 0..50 {
         pool.draw = draw;
         let choice = pool.choose(&prompt(2_900));
         assert!(choice.admitted_fraction < 1.0);
-        if choice.key != keeper {
+        if choice.key != holder {
             assert_eq!(choice.reuse.moved, 6_300, "{choice:?}");
             moved += 1;
         }
