--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -1,4 +1,4 @@
-//! What a request is allowed, and when a denial may be told.
+//! Authorization of requests, and when a denial may be returned.
 
 mod common;
 
@@ -33,7 +33,7 @@
     catalog(3, vec![route("keyed", "/k/"), public])
 }
 
-fn decide(proven: Option<u64>, now: u64, ask: &ParsedRequest) -> Result<Allowed, Denied> {
+fn resolve_at(proven: Option<u64>, now: u64, ask: &ParsedRequest) -> Result<Allowed, Denied> {
     let catalog = routes();
     let mut freshness = Freshness::default();
     if let Some(at) = proven {
@@ -49,31 +49,43 @@
 
 #[test]
 fn key_allows() {
-    let allowed = decide(Some(0), 4_749, &ask("/k/x", Some("key-1"))).unwrap();
+    let allowed = resolve_at(Some(0), 4_749, &ask("/k/x", Some("key-1"))).unwrap();
     assert!(allowed.team.is_some());
 }
 
 #[test]
 fn stale_key_refused() {
     let asked = ask("/k/x", Some("key-1"));
-    assert_eq!(decide(Some(0), 4_750, &asked), Err(Denied::StaleCatalog));
-    assert_eq!(decide(None, 10, &asked), Err(Denied::StaleCatalog));
+    assert_eq!(
+        resolve_at(Some(0), 4_750, &asked),
+        Err(Denied::StaleCatalog)
+    );
+    assert_eq!(resolve_at(None, 10, &asked), Err(Denied::StaleCatalog));
 }
 
 #[test]
-fn public_goes_on() {
-    assert!(decide(Some(0), 60_000, &ask("/p/x", None)).is_ok());
+fn public_allowed_when_stale() {
+    assert!(resolve_at(Some(0), 60_000, &ask("/p/x", None)).is_ok());
 }
 
 #[test]
-fn denial_needs_proof() {
+fn denial_needs_recent_proof() {
     let unknown = ask("/k/x", Some("nobody"));
     let nowhere = ask("/none/", Some("key-1"));
-    assert_eq!(decide(Some(0), 10, &unknown), Err(Denied::NoKey));
-    assert_eq!(decide(Some(0), 10, &nowhere), Err(Denied::NoRoute));
-    assert_eq!(decide(Some(0), 9_000, &unknown), Err(Denied::StaleCatalog));
-    assert_eq!(decide(Some(0), 9_000, &nowhere), Err(Denied::StaleCatalog));
-    assert_eq!(decide(Some(0), 10, &ask("/k/x", None)), Err(Denied::NoKey));
+    assert_eq!(resolve_at(Some(0), 10, &unknown), Err(Denied::NoKey));
+    assert_eq!(resolve_at(Some(0), 10, &nowhere), Err(Denied::NoRoute));
+    assert_eq!(
+        resolve_at(Some(0), 9_000, &unknown),
+        Err(Denied::StaleCatalog)
+    );
+    assert_eq!(
+        resolve_at(Some(0), 9_000, &nowhere),
+        Err(Denied::StaleCatalog)
+    );
+    assert_eq!(
+        resolve_at(Some(0), 10, &ask("/k/x", None)),
+        Err(Denied::NoKey)
+    );
 }
 
 #[test]
