--- a/tests/residency.rs
+++ b/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Requests whose route or team is bound to regions run at no endpoint elsewhere.
+//! Requests whose route or team is restricted to regions run at no endpoint elsewhere.
 
 mod common;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Zones where a request may run.
+/// Zones in which a request may run.
 fn allowed(route: &Route, team: Option<&Team>) -> Vec<&'static str> {
     let zones = ["hall-a", "hall-b", "caxias", "elsewhere"];
     let allows = |zone: &&str| allows(route, team, zone, &regions());
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn none_told() {
+fn no_restriction() {
     let all = ["hall-a", "hall-b", "caxias", "elsewhere"];
     assert_eq!(allowed(&bound_route(&[]), Some(&bound_team(&[]))), all);
     assert_eq!(allowed(&bound_route(&[]), None), all);
