--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -1,4 +1,5 @@
-//! Slots that are left free for more urgent requests, and how entries that don't see each other share the others.
+//! Slots that are left free for more urgent requests, and how entries that don't see each other
+//! share the others.
 
 mod common;
 
@@ -28,10 +29,10 @@
     pause_sensitivity: 0,
 };
 const IDS: [&str; 4] = ["a", "b", "c", "d"];
-/// Slots of an endpoint as the tests list it.
+/// Slots of an endpoint as listed by the test helpers.
 const SLOTS: u32 = 64;
 
-/// Endpoints with as many running as told.
+/// Endpoints a to d with the given numbers of running requests.
 struct Pool {
     directory: Directory,
     loads: Vec<EndpointLoad>,
@@ -58,8 +59,9 @@
         }
     }
 
-    /// The same with as many of them by this entry as told, the others by another one.
-    fn told(running: [u32; 4], own: [u32; 4]) -> Self {
+    /// The same, where `own` of the running requests are this entry's and the others those of a
+    /// peer.
+    fn with_peer_load(running: [u32; 4], own: [u32; 4]) -> Self {
         let mut pool = Self::new(own);
         for (i, load) in pool.loads.iter_mut().enumerate() {
             let work = EndpointWork {
@@ -114,21 +116,21 @@
         refused_fraction: 0.0,
     },
 };
-const LATER: RoomInputs = RoomInputs {
+const LESS_URGENT: RoomInputs = RoomInputs {
     more_urgent_bands: 1,
     ..URGENT
 };
 
-/// An eighth of the slots is left to more urgent requests.
+/// An eighth of the slots is left free for more urgent requests.
 #[test]
-fn urgent_has_room() {
+fn slots_reserved_for_urgent() {
     let most = SLOTS - SLOTS / 8;
     for running in [0, most - 1] {
-        assert!(Pool::new([running; 4]).choose(LATER, 1).has_room);
+        assert!(Pool::new([running; 4]).choose(LESS_URGENT, 1).has_room);
     }
     for running in [most, SLOTS - 1] {
         let pool = Pool::new([running; 4]);
-        assert!(!pool.choose(LATER, 1).has_room);
+        assert!(!pool.choose(LESS_URGENT, 1).has_room);
         assert!(pool.choose(URGENT, 1).has_room);
     }
     assert!(!Pool::new([SLOTS; 4]).choose(URGENT, 1).has_room);
@@ -141,7 +143,8 @@
     assert_eq!(pool.choose(URGENT, 1).key, pool.key(1));
 }
 
-/// One that turned a request away is left alone for a time, though it has the least to do by the count, unless a run ends there.
+/// An endpoint that rejected a request is avoided for a short time although it has the fewest
+/// requests, unless a run ends there. If all have done so, the best one is still chosen.
 #[test]
 fn full_avoided() {
     let mut pool = Pool::new([0, 9, 9, 9]);
@@ -157,13 +160,13 @@
         load.mark_full(NOW);
     }
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    assert!(!pool.choose(LATER, 1).has_room);
+    assert!(!pool.choose(LESS_URGENT, 1).has_room);
 }
 
-/// Entries that know the same and don't see what others do begin no more than twice the free slots and than ended, whoever has
-/// the callers and the requests that run.
+/// Entries with the same knowledge that don't see each other's choices together start at most twice
+/// the free slots plus the runs that ended, however callers and running requests are distributed.
 #[test]
-fn shared_out() {
+fn free_slots_shared() {
     let running = [40, 50, 30, 56];
     let left = |running: u32| SLOTS - SLOTS / 8 - running;
     let free: u32 = running.map(left).iter().sum();
@@ -189,9 +192,11 @@
                     ended: u.int_in_range(0..=20)?,
                     ..RecentActivity::default()
                 },
-                ..LATER
+                ..LESS_URGENT
             };
-            let admitted_fraction = Pool::told(running, own).choose(room, 1).admitted_fraction;
+            let admitted_fraction = Pool::with_peer_load(running, own)
+                .choose(room, 1)
+                .admitted_fraction;
             started += admitted_fraction.min(1.0) * room.recent.yielding_arrivals as f64;
             ended += room.recent.ended;
             yielding_arrivals += room.recent.yielding_arrivals;
@@ -205,26 +210,28 @@
     });
 }
 
-/// Endpoints that turn many away have less room than they list.
+/// Endpoints that reject many requests have less capacity than they list, so more slots are left
+/// free.
 #[test]
-fn turned_away_leaves_more() {
+fn rejections_reserve_more() {
     let pool = Pool::new([SLOTS / 2; 4]);
-    assert!(pool.choose(LATER, 1).has_room);
+    assert!(pool.choose(LESS_URGENT, 1).has_room);
     let after = |rejected_fraction| RoomInputs {
         recent: RecentActivity {
             rejected_fraction,
             ..RecentActivity::default()
         },
-        ..LATER
+        ..LESS_URGENT
     };
     assert!(pool.choose(after(0.1), 1).has_room);
     assert!(!pool.choose(after(0.3), 1).has_room);
     assert!(Pool::new([SLOTS / 2 - 1; 4]).choose(after(1.0), 1).has_room);
 }
 
-/// Where many come at once, entries go to endpoints as these have slots, and not all to the one that looks best.
+/// If many requests arrive at once, endpoints are chosen in proportion to their free slots, and not
+/// always the one that looks best.
 #[test]
-fn spread_where_crowded() {
+fn contended_choices_spread() {
     let pool = Pool::new([50, 54, 52, 10]);
     let crowded = RoomInputs {
         entries: 30,
@@ -232,7 +239,7 @@
             yielding_arrivals: 100,
             ..RecentActivity::default()
         },
-        ..LATER
+        ..LESS_URGENT
     };
     let mut chosen = [0; 4];
     for draw in 0..4_000 {
@@ -248,7 +255,7 @@
 }
 
 #[test]
-fn recent_forgotten() {
+fn old_activity_dropped() {
     let mut turnover = PoolActivity::default();
     turnover.record_active_band(0, Millis(0));
     for ms in 0..1_000 {
@@ -267,9 +274,10 @@
     );
 }
 
-/// Room is left for kinds that come, not for those that the configuration names alone.
+/// Slots are left free for bands whose requests arrive, not for those that merely exist in the
+/// configuration.
 #[test]
-fn urgent_seen() {
+fn only_active_bands_count() {
     let mut turnover = PoolActivity::default();
     turnover.record_arrival(1, NOW);
     assert_eq!(turnover.more_urgent_bands(2, NOW + Millis(60_000)), 0);
@@ -279,7 +287,8 @@
     assert_eq!(turnover.more_urgent_bands(2, NOW), 2);
 }
 
-/// Of three bands the middle one has the room that the most urgent leaves, and the least urgent what is left then.
+/// Of three bands, the middle one may use the slots that the most urgent one leaves, and the least
+/// urgent one what then remains.
 #[test]
 fn middle_before_least() {
     let mut turnover = PoolActivity::default();
@@ -301,9 +310,10 @@
     assert!(admitted_fraction(2) <= 0.0, "{}", admitted_fraction(2));
 }
 
-/// Less urgent requests are held back as more of a more urgent kind get nothing, and all of them at a twelfth.
+/// Less urgent requests are held back as more urgent ones are refused, and all of them once a
+/// twelfth is refused.
 #[test]
-fn held_back() {
+fn held_back_while_urgent_refused() {
     let pool = Pool::new([0; 4]);
     let admitted_fraction = |nothing: usize| {
         let mut turnover = PoolActivity::default();
@@ -326,9 +336,10 @@
     assert_eq!(admitted_fraction(20), 0.0);
 }
 
-/// A middle band leaves room only where hardly any less urgent requests come, which would leave it.
+/// A middle band leaves slots free only if hardly any less urgent requests arrive, which would
+/// otherwise do so.
 #[test]
-fn least_urgent_leave_first() {
+fn least_urgent_yield_first() {
     let mut turnover = PoolActivity::default();
     for i in 0..40 {
         turnover.record_arrival(1, NOW);
