--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -1,4 +1,5 @@
-//! Endpoints that warm up: the rate that all entries send there together, in simulated time.
+//! Endpoints that are warming up: the rate at which all entries together send to them, in simulated
+//! time.
 
 mod common;
 
@@ -17,20 +18,21 @@
     ratio: 1.5,
     extra: 5.0,
 };
-/// Requests in any second beyond which an endpoint breaks down: half again its rate, and 5.
+/// Requests in any second beyond which an endpoint breaks down: one and a half times its rate, plus
+/// 5.
 const BOUND: usize = 24;
 
-/// The most requests in a second at one endpoint when all entries send as much as they may, each with a
-/// clock and in steps of its own, on ways of up to 40 ms.
+/// Largest number of requests in a second at one endpoint if all entries send as much as they may,
+/// each with its own clock offset and step, over network delays of up to 40 ms.
 fn busiest_second(entries: u64, endpoint: u32, sharers: usize) -> usize {
     let mut arrivals = Vec::new();
     for entry in 0..entries {
         let id = PeerId(entry.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let own = share(WARM_UP, EXCESS, sharers, id, endpoint);
+        let own_share = share(WARM_UP, EXCESS, sharers, id, endpoint);
         let mut sends = RecentSends::default();
         let mut now = Millis(entry * 37 % 500);
         while now < Millis(3_000) {
-            if sends.allows(own, now) {
+            if sends.allows(own_share, now) {
                 sends.note(now);
                 arrivals.push(now.0 + (entry * 13 + now.0) % 40);
             }
@@ -48,20 +50,23 @@
 #[test]
 fn bound_holds() {
     for entries in [1, 3, 30, 100, 450] {
-        let mut most = 0;
+        let mut max_busiest = 0;
         let mut sum = 0;
         for n in 0..200 {
             let busiest =
                 busiest_second(entries, digest(&format!("i-{n}"), None), entries as usize);
-            most = most.max(busiest);
+            max_busiest = max_busiest.max(busiest);
             sum += busiest;
         }
-        assert!(most <= BOUND, "{entries} entries sent {most} in a second");
+        assert!(
+            max_busiest <= BOUND,
+            "{entries} entries sent {max_busiest} in a second"
+        );
         assert!(sum > 200 * 4, "{entries} entries use what there is: {sum}");
     }
 }
 
-/// Where operators allow nothing beyond the rate, less of it is used.
+/// If operators allow no excess over the rate, less of it is used.
 #[test]
 fn tighter_bound() {
     let strict = Excess {
@@ -75,7 +80,7 @@
     }
 }
 
-/// A part of the fleet that sees nobody keeps to the shares of the whole.
+/// Entries that are cut off from the others keep to the shares of the whole fleet.
 #[test]
 fn cut_off_entries() {
     let mut fleet = FleetSize::default();
@@ -89,9 +94,9 @@
     }
 }
 
-/// An entry that has just started does not take itself for the only one.
+/// An entry that has just started does not assume that it is the only one.
 #[test]
-fn fresh_entry() {
+fn new_entry_assumes_others() {
     let mut fleet = FleetSize::default();
     fleet.observe(1);
     assert!(fleet.sharers(Millis(200), true) > 30);
@@ -102,7 +107,7 @@
 }
 
 #[test]
-fn told_by_entry() {
+fn warm_up_by_listed_record() {
     let (clock, entry) = entry();
     let cold = ListedEndpoint {
         warming: Millis(2_000),
@@ -127,9 +132,9 @@
     assert!(!is_warming(), "its newer entry says that it is warm");
 }
 
-/// Entries take an endpoint that has warmed up for like any other one by one.
+/// Entries start one by one to treat a warmed-up endpoint as any other.
 #[test]
-fn phased_in() {
+fn entries_phase_in_one_by_one() {
     let endpoint = digest("i-1", None);
     let until = |entry| shared_until(Millis(10_000), PeerId(entry), endpoint);
     let mut all: Vec<Millis> = (0..100).map(until).collect();
@@ -142,9 +147,9 @@
     assert!(all.iter().map(in_a_moment).max() < Some(20));
 }
 
-/// An endpoint that never warmed up is not held back when its entry changes.
+/// An endpoint that never warmed up is not limited when its record changes.
 #[test]
-fn ordinary_change() {
+fn ordinary_change_not_limited() {
     let (_, entry) = entry();
     entry.apply_listing(vec![listed("a", 1)], 1);
     entry.apply_changes(vec![Change::Put(listed("a", 2))], 2);
@@ -154,9 +159,9 @@
     assert_eq!(entry.warm_up_share(endpoint, Some(WARM_UP)), None);
 }
 
-/// Pools that tell nothing of warming up have no limit.
+/// Pools without a configured warm-up have no limit.
 #[test]
-fn not_told() {
+fn pool_without_warm_up() {
     let (_, entry) = entry();
     let cold = ListedEndpoint {
         warming: Millis(2_000),
@@ -168,7 +173,7 @@
     assert_eq!(entry.warm_up_share(directory.get(key).unwrap(), None), None);
 }
 
-/// Requests that were sent before it was known to warm up count.
+/// Requests sent before the endpoint was known to be warming up count.
 #[test]
 fn earlier_sends_count() {
     let mut sends = RecentSends::default();
