--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -1,4 +1,4 @@
-//! Cordoned availability zones: nothing new is sent there, whatever way the word of it comes.
+//! Cordoned availability zones: nothing new is sent there, however the information arrives.
 
 mod common;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn zone_left_out() {
+fn cordoned_zone_excluded() {
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     assert!(
@@ -45,18 +45,18 @@
     assert!(accepts_requests(&directory, "a"));
 }
 
-/// An endpoint that joins a cordoned zone gets nothing either.
+/// An endpoint that joins a cordoned zone gets no requests either.
 #[test]
-fn joins_cordoned_zone() {
+fn endpoint_joins_cordoned_zone() {
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     directory.apply(Change::Put(listed("c", 4)), Millis(20));
     assert!(!accepts_requests(&directory, "c"));
 }
 
-/// What operators took back may be cold, whatever its entry said before.
+/// After a cordon ends, endpoints may be cold, whatever their records said before.
 #[test]
-fn warms_up_after() {
+fn warms_up_after_cordon() {
     let mut directory = directory();
     let key = directory.key("a").unwrap();
     directory.apply(Change::Cordoned(cordon(3)), Millis(1_000));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn older_word_ignored() {
+fn older_information_ignored() {
     let mut cordons = Cordons::default();
     cordons.cordon(cordon(7));
     assert!(!cordons.uncordon(&cordon(6)));
@@ -82,9 +82,9 @@
     assert!(!cordons.has(ZONE), "a peer's old word");
 }
 
-/// Listings and their changes bring both ends to the same state.
+/// Listings and their changes bring sender and receiver to the same state.
 #[test]
-fn passed_on_by_listing() {
+fn forwarded_by_listing() {
     let (_, first) = entry();
     let (_, second) = entry();
     let with_cordon = Listing {
@@ -103,10 +103,10 @@
     assert!(!second.directory().is_cordoned(ZONE));
 }
 
-/// A question for a proof may bring the end of a cordon before the listing does; peers that hear of the
-/// listing alone learn of that end as well.
+/// A request for a proof may reveal the end of a cordon before the listing does; peers that only
+/// receive the listing still learn of that end.
 #[test]
-fn end_known_early() {
+fn early_end_forwarded() {
     let (_, first) = entry();
     let with_cordon = Listing {
         endpoints: Vec::new(),
@@ -121,9 +121,9 @@
     assert!(passed.changes.iter().any(ends));
 }
 
-/// Names that other writers make up neither push a zone out nor grow without bound.
+/// Invalid zone names from other writers neither displace a real zone nor use unbounded memory.
 #[test]
-fn made_up_zones() {
+fn invalid_zones_bounded() {
     let mut cordons = Cordons::default();
     cordons.cordon(cordon(1));
     for n in 0..5_000 {
