--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are turned away, by the backlog of their pool and the time that they have.
+//! Which requests are refused, by the backlog of their pool and the time that they have left.
 
 use violetline::clock::Millis;
 use violetline::direct::admission::{EngineAdmission, PlainAdmission};
@@ -15,7 +15,7 @@
     }
 }
 
-/// Where a less urgent request is sent, a more urgent one with less time of its own is sent as well.
+/// If a less urgent request is sent, a more urgent one with less time of its own is sent as well.
 #[test]
 fn urgent_goes_first() {
     for backlog in [0.0, 150.0, 300.0, 900.0] {
@@ -49,8 +49,8 @@
     }
 }
 
-/// Entries estimate the wait for a short urgent prompt up to half as long again as for a long one: it is sent all the same
-/// where less urgent ones are, of the two bands below.
+/// The estimated wait for a short urgent prompt can be half as long again as for a long one. The
+/// urgent prompt is still sent where less urgent ones are, for both lower bands.
 #[test]
 fn urgent_waits_longer() {
     for backlog in [0.0, 150.0, 300.0, 900.0] {
@@ -72,9 +72,9 @@
     }
 }
 
-/// A long prompt in a pool that is idle is sent, whatever it takes.
+/// A long prompt is sent to an idle pool even if it takes long.
 #[test]
-fn calm_admits() {
+fn idle_pool_admits() {
     assert!(outlook(0.0, 2_300.0).is_admitted());
     assert!(outlook(90.0, 2_300.0).is_admitted());
 }
@@ -85,9 +85,9 @@
     assert!(outlook(300.0, 500.0).is_admitted());
 }
 
-/// What may be waited for falls with the backlog without a step.
+/// The accepted wait falls with the backlog without a step.
 #[test]
-fn falls_evenly() {
+fn accepted_wait_falls_smoothly() {
     let admitted = |backlog: f64| {
         let waits = (0..4_000).step_by(10);
         waits
@@ -102,9 +102,9 @@
         .all(|pair| pair[1] <= pair[0] && pair[0] - pair[1] < 15));
 }
 
-/// Without anything told of targets nothing is turned away for its pool's backlog alone.
+/// Without configured targets, no request is refused because of the pool's backlog alone.
 #[test]
-fn no_target_told() {
+fn no_target_configured() {
     let outlook = EngineAdmission {
         shortest_target: Millis(0),
         ..outlook(9_000.0, 2_000.0)
@@ -112,9 +112,9 @@
     assert!(outlook.is_admitted());
 }
 
-/// Who has hardly any time left is told so at once.
+/// A request with hardly any time left is refused at once.
 #[test]
-fn hopeless_refused() {
+fn no_time_left_refused() {
     let hopeless = EngineAdmission {
         time_left: Millis(100),
         ..outlook(0.0, 400.0)
@@ -122,7 +122,7 @@
     assert!(!hopeless.is_admitted());
 }
 
-/// Nothing is turned away from a plain service while a slot is free.
+/// No request is refused by a plain service while a slot is free.
 #[test]
 fn free_slot_admits() {
     let outlook = PlainAdmission {
