--- a/tests/ended_endpoints.rs
+++ b/tests/ended_endpoints.rs
@@ -1,4 +1,5 @@
-//! Runs that were lost with an endpoint, told apart from those lost for other reasons.
+//! Runs that were lost because their endpoint terminated, distinguished from those lost for other
+//! reasons.
 
 use violetline::clock::Millis;
 use violetline::direct::ends::{EndSign, LostHow, LostRun, LostRuns};
@@ -18,19 +19,19 @@
 }
 
 #[test]
-fn refused_connection() {
+fn refused_connection_ends_runs() {
     let mut runs = LostRuns::default();
     assert_eq!(runs.record_loss(lost(1, 100, LostHow::Broken)), None);
     assert_eq!(runs.record_loss(lost(2, 100, LostHow::Silent)), None);
     let ended = runs.record_end(EndSign::Refused, Millis(110));
     assert_eq!(requests(&ended), [1, 2]);
     assert!(runs.record_end(EndSign::Unlisted, Millis(3_000)).is_empty());
-    // One that is read only now was lost with it as well.
+    // A loss that is noticed only now also belongs to that termination.
     let late = runs.record_loss(lost(3, 120, LostHow::Broken));
     assert_eq!(late, Some(EndSign::Refused));
 }
 
-/// A frozen engine, or one behind a cut, says nothing, and its entry lapses.
+/// A frozen or partitioned engine is silent, and its record lapses.
 #[test]
 fn silent_then_unlisted() {
     let mut runs = LostRuns::default();
@@ -40,12 +41,13 @@
     assert_eq!(requests(&ended), [2]);
 }
 
-/// A connection breaks and the endpoint goes on: what was lost there is not held against it when that ends later.
+/// A connection breaks and the endpoint continues: the run lost there is not blamed when the
+/// endpoint terminates later.
 #[test]
-fn heard_afterwards() {
+fn contact_clears_runs() {
     let mut runs = LostRuns::default();
     runs.record_loss(lost(1, 100, LostHow::Broken));
-    // Bytes from before the end may be read just after the first broken connection.
+    // Data sent before the termination may be read just after the first broken connection.
     runs.record_contact(Millis(120));
     runs.record_loss(lost(2, 300, LostHow::Broken));
     runs.record_contact(Millis(320));
@@ -53,9 +55,10 @@
     assert_eq!(requests(&ended), [2]);
 }
 
-/// It takes a connection just after it broke one: it only answers that request so.
+/// The endpoint accepts a connection just after it broke another one, so it only answers that
+/// request in this way.
 #[test]
-fn connected_afterwards() {
+fn connection_clears_runs() {
     let mut runs = LostRuns::default();
     runs.record_loss(lost(1, 100, LostHow::Broken));
     runs.record_connection(Millis(100));
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn lost_long_before() {
+fn old_losses_ignored() {
     let mut runs = LostRuns::default();
     runs.record_loss(lost(1, 100, LostHow::Broken));
     assert!(runs.record_end(EndSign::Refused, Millis(20_000)).is_empty());
