--- a/src/direct/price.rs
+++ b/src/direct/price.rs
@@ -11,7 +11,7 @@
 pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 /// Time added by each request of the batch, in ms: each makes every step slightly longer.
 const BATCHED_REQUEST_MS: f64 = 0.8;
-/// Constant part of the estimate, in ms: one step and the network round trip.
+/// Constant part of the estimate, in ms: one step and the network path to the endpoint.
 const BASE_MS: f64 = 8.0;
 /// Price of another availability zone, in ms: traffic between zones is charged.
 const OTHER_ZONE_MS: f64 = 6.0;
