--- a/src/order.rs
+++ b/src/order.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told and what it answers.
+//! The scheduler's inputs (its parameters and requests) and outputs (actions and counters).
 
 use serde::{Deserialize, Serialize};
 
@@ -7,27 +7,27 @@
 use crate::outcome::NotRunReason;
 use crate::schedule::TicketKey;
 
-/// How waiting requests are ordered; the first two are baselines to measure against.
+/// In which order waiting requests are served; the first two are baselines for measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
     /// First come, first served, whatever the class.
     Fifo,
-    /// Strict urgency without floors or pauses.
+    /// Strict priority of classes, without floors or pauses.
     Strict,
-    /// Urgency with floors, fairness and pauses.
+    /// Priority of classes with floors, pausing less urgent runs for more urgent requests.
     #[default]
     Floors,
 }
 
-/// What the scheduler needs to know of a class.
+/// The parameters of a class that the scheduler uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassSpec {
-    /// Name; ties a class to its successor in the next bundle.
+    /// Name; identifies the class across bundles.
     pub name: String,
-    /// Urgency, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Share of slot time kept while it has work, in percent.
+    /// Floor: share of slot time guaranteed to the class while it has requests, in percent.
     pub floor_percent: u8,
     /// Whether its runs may be paused.
     pub preemptible: bool,
@@ -38,30 +38,30 @@
 pub struct SchedulerParams {
     /// Run slots of the endpoint.
     pub slots: u32,
-    /// Slots for classes of priority 0 only.
+    /// Slots reserved for classes of priority 0; not applied with [`Order::Fifo`].
     pub reserved: u32,
-    /// How long a grant is held.
+    /// Time within which a granted request must be started.
     pub grant: Millis,
-    /// Pauses that one run may suffer.
+    /// How often one run may be paused.
     pub max_preemptions: u32,
-    /// Waiting tickets of one class.
+    /// Most waiting tickets of one class; further requests are refused.
     pub queue_per_class: u32,
-    /// Classes in the bundle's order.
+    /// Classes, in the bundle's order; a [`ClassKey`] is an index into them.
     pub classes: Vec<ClassSpec>,
 }
 
-/// What a request asks of the scheduler.
+/// A request for a run slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
-    /// The request, for the spread of retry hints.
+    /// The request's id; spreads the retry delays of refused requests.
     pub request: RequestId,
     /// Its class.
     pub class: ClassKey,
     /// Its team.
     pub team: String,
-    /// The team's weight.
+    /// The team's weight in fair queueing; its share grows with it.
     pub weight: u32,
-    /// Tokens expected.
+    /// Expected number of tokens.
     pub est_tokens: u32,
     /// Longest wait for a grant.
     pub max_wait: Millis,
@@ -72,58 +72,59 @@
 /// What the sidecar has to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Tell the entry that it may start until `until`.
+    /// Tell the entry that it may start the run before `until`.
     Grant {
-        /// Whose turn it is.
+        /// The ticket that now holds a slot.
         ticket: TicketKey,
-        /// End of the grant.
+        /// Time at which the grant expires.
         until: Millis,
     },
-    /// Tell the entry that the request is not run.
+    /// Tell the entry that the request is refused and doesn't run.
     Refuse {
-        /// Whose it is; gone from the arena.
+        /// The refused ticket; the scheduler has already removed it.
         ticket: TicketKey,
-        /// Why.
+        /// Why it was refused.
         reason: NotRunReason,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
-    /// Stop the run and report it with [`Scheduler::paused`].
+    /// Stop the run, then report that it has stopped with
+    /// [`Scheduler::paused`](crate::schedule::Scheduler::paused).
     Pause {
         /// The run to stop.
         ticket: TicketKey,
     },
-    /// Go on with a paused run.
+    /// Resume a paused run.
     Resume {
-        /// The run to go on with.
+        /// The run to resume.
         ticket: TicketKey,
     },
 }
 
-/// The requests of one class at this moment.
+/// Current number of requests of one class in each state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ClassOccupancy {
     /// Class name.
     pub class: String,
     /// Waiting for a first grant.
     pub waiting: usize,
-    /// Holding a slot.
+    /// Holding a slot: granted, running or about to pause.
     pub running: u32,
-    /// Paused for more urgent work.
+    /// Paused for more urgent requests.
     pub paused: usize,
 }
 
-/// Counts kept since the start, for metrics and measurements.
+/// Event counts since the scheduler was created, for metrics and measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct SchedulerCounters {
-    /// Grants given.
+    /// Grants.
     pub granted: u64,
-    /// Grants that were not used in time.
+    /// Grants that expired before the run was started.
     pub lapsed: u64,
-    /// Runs paused for more urgent work.
+    /// Times that a run was told to pause for more urgent requests.
     pub paused: u64,
-    /// Requests refused.
+    /// Requests refused, including those whose wait or grant expired.
     pub refused: u64,
-    /// Grants given because a class was below its floor.
+    /// Slots given, by a grant or a resume, because a class was below its floor.
     pub by_floor: u64,
 }
