--- a/src/schedule.rs
+++ b/src/schedule.rs
@@ -420,8 +420,8 @@
     }
 
     /// Free slots that requests of a priority may take now. The reservation limits the slots held
-    /// by all less urgent classes than priority 0, not the slots in use: otherwise priority 0 work beyond the
-    /// reserved slots could keep a class from being served its floor.
+    /// by all classes less urgent than priority 0, not the slots in use: otherwise priority 0 work
+    /// beyond the reserved slots could keep a class from being served its floor.
     fn free_slots_for(&self, priority: u8) -> u32 {
         let free = self.open_slots.saturating_sub(self.slots_in_use);
         if !self.cannot_use_reserved(priority) {
@@ -612,7 +612,8 @@
     }
 
     /// Updates the class indices of all tickets after the classes have changed; `old` holds the
-    /// former class names by index. Classes with requests are kept, so every ticket's class is found.
+    /// former class names by index. Classes with requests are kept, so every ticket's class is
+    /// found.
     fn remap_classes(&mut self, old: &[String]) {
         for ticket in self.tickets.values_mut() {
             let name = &old[ticket.slot_request.class.0];
