--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -192,13 +192,13 @@
     let unreachable = Outcome::Unknown(UnknownReason::HomeUnreachable);
     let mut search = Search::new(entry, job);
     for _ in 0..MAX_DISAGREEMENTS {
-        let Some(instance) = search.next(&[]) else {
+        let Some(instance) = search.next_endpoint(&[]) else {
             return unreachable;
         };
         let offer = Offer {
             query: true,
             key: Some(key),
-            ..search.offer(&instance)
+            ..search.build_offer(&instance)
         };
         let (notices, _noticed) = mpsc::unbounded_channel();
         let (asked, reply) = offer::ask(Rc::clone(entry), instance, offer, notices).await;
--- a/src/search.rs
+++ b/src/search.rs
@@ -1,4 +1,4 @@
-//! The search of one request for a run slot, over the endpoints of its pool.
+//! The search for a run slot for one request, among the endpoints of its pool.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use crate::schedule::spread_retry_after;
 use crate::wire::{Answer, Offer};
 
-/// Time to wait for newer documents after a disagreement.
-const AGREE_TIME: Duration = Duration::from_millis(300);
-/// Disagreements over documents that one request sits through.
+/// Time to wait for newer documents when the sidecar holds different ones than this entry.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often one request retries because the sidecar and this entry hold different documents.
 pub const MAX_DISAGREEMENTS: u32 = 8;
-/// Queues that a request stands in at a time.
-const QUEUES: usize = 2;
-/// Queues that a request of priority 0 stands in at a time.
-const QUEUES_URGENT: usize = 4;
-/// Endpoints that a request of priority 0 is offered to, at most.
-const ATTEMPTS_URGENT: usize = 32;
-/// Advice to come back when no endpoint could be reached.
+/// Most queues in which a request waits at the same time.
+const MAX_QUEUES: usize = 2;
+/// Most queues in which a request of priority 0 waits at the same time.
+const MAX_QUEUES_URGENT: usize = 4;
+/// Number of endpoints to which a request of priority 0 may be offered, unless the configured
+/// number of attempts is higher.
+const MAX_ATTEMPTS_URGENT: usize = 32;
+/// Time after which the caller is told to retry when no endpoint could be reached.
 pub const NO_ENDPOINT_RETRY_AFTER: Millis = Millis(1_000);
 
 /// How a search ended.
 #[derive(Debug)]
 pub enum SearchResult {
-    /// A slot is held.
+    /// An endpoint holds a slot for the request.
     Reserved(Box<Reserved>),
     /// The answer of an earlier run under the same key.
     Replay(Answer),
-    /// The request does not run.
+    /// The request does not run, for the reason in the outcome.
     Ended(Outcome),
 }
 
@@ -48,42 +49,51 @@
 pub struct Search<'a> {
     entry: &'a Rc<Entry>,
     job: &'a mut Job,
-    began: Millis,
+    started_at: Millis,
+    /// Replies so far that reported different documents.
     disagreements: u32,
-    /// Whether the key's home has said that nothing ran under the key.
+    /// Whether the home endpoint of the request's key has reported that nothing ran under the key. A
+    /// notice that the request is queued there counts as such a report.
     pub home_ruled_out_run: bool,
+    /// Of the refusals so far, the reason and the retry delay of the one with the shortest delay.
     refusal: Option<(NotRunReason, Millis)>,
 }
 
 impl<'a> Search<'a> {
-    /// A search that has asked nobody yet.
+    /// Creates a search that has asked no endpoint yet.
     pub fn new(entry: &'a Rc<Entry>, job: &'a mut Job) -> Self {
-        let began = entry.node.clock.now();
+        let started_at = entry.node.clock.now();
         Self {
             entry,
             job,
-            began,
+            started_at,
             disagreements: 0,
             home_ruled_out_run: false,
             refusal: None,
         }
     }
 
-    /// Offers the request to one endpoint after another, in several queues at a time, until one
-    /// holds a slot.
+    /// Offers the request to one endpoint after another until one grants a slot, the request has
+    /// ended or no endpoint is left to try. Starts with one open offer; each notice that an offer
+    /// is queued or unanswered allows one more, up to the maximum. Adds the endpoints asked to
+    /// `tried`.
     pub async fn run(&mut self, tried: &mut Vec<String>) -> SearchResult {
         let urgent = self.job.policy.class_at(self.job.class).priority == 0;
-        let most_queues = if urgent { QUEUES_URGENT } else { QUEUES };
+        let max_queues = if urgent {
+            MAX_QUEUES_URGENT
+        } else {
+            MAX_QUEUES
+        };
         let mut queues = 1;
-        let (notices, mut noticed) = mpsc::unbounded_channel();
+        let (notices, mut notice_receiver) = mpsc::unbounded_channel();
         let mut open = FuturesUnordered::new();
         loop {
-            while open.len() < queues && tried.len() < self.most_attempts(urgent) {
-                let Some(instance) = self.next(tried) else {
+            while open.len() < queues && tried.len() < self.attempt_limit(urgent) {
+                let Some(instance) = self.next_endpoint(tried) else {
                     break;
                 };
                 tried.push(instance.id.clone());
-                let offer = self.offer(&instance);
+                let offer = self.build_offer(&instance);
                 open.push(offer::ask(
                     Rc::clone(self.entry),
                     instance,
@@ -92,33 +102,35 @@
                 ));
             }
             if open.is_empty() {
-                return SearchResult::Ended(self.refused());
+                return SearchResult::Ended(self.final_refusal());
             }
             tokio::select! {
                 Some((instance, reply)) = open.next() => {
-                    if let Some(found) = self.weigh(instance, reply, tried).await {
-                        return found;
+                    if let Some(result) = self.handle_reply(instance, reply, tried).await {
+                        return result;
                     }
                 }
-                Some(notice) = noticed.recv() => {
+                Some(notice) = notice_receiver.recv() => {
                     self.home_ruled_out_run |= notice == Notice::Queued;
-                    queues = (queues + 1).min(most_queues);
+                    queues = (queues + 1).min(max_queues);
                 }
             }
         }
     }
 
-    fn most_attempts(&self, urgent: bool) -> usize {
-        let most = self.job.policy.bundle.limits.max_attempts as usize;
+    /// Number of endpoints to which the request may be offered.
+    fn attempt_limit(&self, urgent: bool) -> usize {
+        let configured_limit = self.job.policy.bundle.limits.max_attempts as usize;
         if urgent {
-            ATTEMPTS_URGENT.max(most)
+            MAX_ATTEMPTS_URGENT.max(configured_limit)
         } else {
-            most
+            configured_limit
         }
     }
 
-    /// The next endpoint; for keyed work that may run only once, its home alone.
-    pub fn next(&self, tried: &[String]) -> Option<Instance> {
+    /// The next endpoint to try; `None` when none is left. For a request with a key that may run
+    /// only once, only the key's home endpoint is tried.
+    pub fn next_endpoint(&self, tried: &[String]) -> Option<Instance> {
         let pool = self.job.policy.pool_at(self.job.pool);
         let members = self.entry.node.replica.members();
         let home = self
@@ -137,10 +149,10 @@
             .cloned()
     }
 
-    /// The offer to one sidecar.
-    pub fn offer(&self, instance: &Instance) -> Offer {
+    /// Builds the offer of the request to one sidecar, with the wait that is left.
+    pub fn build_offer(&self, instance: &Instance) -> Offer {
         let job = &self.job;
-        let passed = self.entry.node.clock.now() - self.began;
+        let elapsed = self.entry.node.clock.now() - self.started_at;
         Offer {
             request: job.request,
             bundle: job.stamps.bundle,
@@ -150,15 +162,15 @@
             class: job.policy.class_at(job.class).name.clone(),
             team: job.policy.team_at(job.team).name.clone(),
             est_tokens: job.est_tokens.min(u64::from(u32::MAX)) as u32,
-            max_wait_ms: (longest_wait(job) - passed).as_u32(),
+            max_wait_ms: (longest_wait(job) - elapsed).as_u32(),
             once: job.once,
             key: job.key,
             query: false,
         }
     }
 
-    /// What a reply means for the search.
-    async fn weigh(
+    /// Processes a reply; returns the result when it ends the search.
+    async fn handle_reply(
         &mut self,
         instance: Instance,
         reply: Reply,
@@ -207,19 +219,20 @@
         (!reason.try_elsewhere() && !reason.disagrees()).then_some(SearchResult::Ended(outcome))
     }
 
-    /// Waits for newer documents and decides under them from here on; false when they no longer
-    /// allow the request.
+    /// Waits for newer documents, unless newer ones have already arrived, and decides about the
+    /// request under the current ones from here on. Returns false when they no longer allow the request.
     pub async fn sync_documents(&mut self, instance: &Instance) -> bool {
         let replica = &self.entry.node.replica;
         let mut changed = replica.subscribe();
         if replica.stamps() == self.job.stamps {
             self.exchange_documents(instance).await;
-            let _ = timeout(AGREE_TIME, changed.changed()).await;
+            let _ = timeout(SYNC_TIMEOUT, changed.changed()).await;
         }
         self.entry.redecide(self.job)
     }
 
-    /// Talks with the sidecar about documents for a while: whoever is behind catches up.
+    /// Starts a brief gossip exchange with the sidecar, so that the side with older documents gets
+    /// the newer ones.
     async fn exchange_documents(&self, instance: &Instance) {
         if let Ok(link) = self.entry.links.get(instance.addr).await {
             let node = Rc::clone(&self.entry.node);
@@ -227,23 +240,26 @@
         }
     }
 
-    /// Of several refusals the one with the shortest wait is told.
+    /// Remembers the refusal with the shortest retry delay, which is the one reported.
     fn keep_refusal(&mut self, reason: NotRunReason, after: Millis) {
         if self.refusal.is_none_or(|(_, kept)| after < kept) {
             self.refusal = Some((reason, after));
         }
     }
 
-    fn refused(&self) -> Outcome {
-        let spread_out = spread_retry_after(NO_ENDPOINT_RETRY_AFTER, self.job.request);
+    /// The outcome when no endpoint is left: the remembered refusal, or else that no endpoint could
+    /// be reached.
+    fn final_refusal(&self) -> Outcome {
+        let default_delay = spread_retry_after(NO_ENDPOINT_RETRY_AFTER, self.job.request);
         let (reason, after) = self
             .refusal
-            .unwrap_or((NotRunReason::NoEndpoint, spread_out));
+            .unwrap_or((NotRunReason::NoEndpoint, default_delay));
         Outcome::not_run(reason, after)
     }
 }
 
-/// Longest wait for a grant: the class's, or less when the caller's deadline is nearer.
+/// Longest wait for a grant: the limit of the request's class, or the caller's time limit for the
+/// first token if that is shorter.
 pub fn longest_wait(job: &Job) -> Millis {
     let by_class = job.policy.max_wait(job.class);
     job.deadline
