--- a/src/search.rs
+++ b/src/search.rs
@@ -52,8 +52,8 @@
     started_at: Millis,
     /// Replies so far that reported different documents.
     disagreements: u32,
-    /// Whether the home endpoint of the request's key has reported that nothing ran under the key. A
-    /// notice that the request is queued there counts as such a report.
+    /// Whether the home endpoint of the request's key has reported that nothing ran under the key.
+    /// A notice that the request is queued there counts as such a report.
     pub home_ruled_out_run: bool,
     /// Of the refusals so far, the reason and the retry delay of the one with the shortest delay.
     refusal: Option<(NotRunReason, Millis)>,
@@ -220,7 +220,8 @@
     }
 
     /// Waits for newer documents, unless newer ones have already arrived, and decides about the
-    /// request under the current ones from here on. Returns false when they no longer allow the request.
+    /// request under the current ones from here on. Returns false when they no longer allow the
+    /// request.
     pub async fn sync_documents(&mut self, instance: &Instance) -> bool {
         let replica = &self.entry.node.replica;
         let mut changed = replica.subscribe();
