--- a/tests/schedule_invariants.rs
+++ b/tests/schedule_invariants.rs
@@ -1,4 +1,5 @@
-//! The scheduler under any order of events: slots, ends and pauses stay within their bounds.
+//! Invariants of the scheduler under random orders of events: limits of slots and pauses hold, and
+//! every request is granted or refused at most once.
 
 use std::collections::HashMap;
 
@@ -14,6 +15,7 @@
 const MAX_PREEMPTIONS: u32 = 2;
 const STEPS: usize = 80;
 
+/// State in which a request should be, from the actions and calls so far.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
     Waiting,
@@ -23,9 +25,11 @@
     Paused,
 }
 
+/// The scheduler under test and the states expected of its requests.
 struct Model {
     scheduler: Scheduler,
     now: Millis,
+    /// State, class index and number of pauses of each request.
     states: HashMap<TicketKey, (State, usize, u32)>,
     draining: bool,
 }
@@ -39,7 +43,7 @@
     }
 }
 
-fn shape() -> SchedulerParams {
+fn params() -> SchedulerParams {
     SchedulerParams {
         slots: SLOTS,
         reserved: 1,
@@ -56,7 +60,7 @@
 
 impl Model {
     fn new(order: Order) -> Self {
-        let scheduler = Scheduler::new(order, shape());
+        let scheduler = Scheduler::new(order, params());
         Self {
             scheduler,
             now: Millis(0),
@@ -74,8 +78,8 @@
             7 | 8 => self.finish(u)?,
             _ => self.scheduler.tick(self.now),
         }
-        self.apply();
-        self.check();
+        self.apply_actions();
+        self.check_invariants();
         Ok(())
     }
 
@@ -124,7 +128,7 @@
         assert_eq!(
             started,
             self.now < until,
-            "a grant is good until its end and not after it"
+            "a grant is valid until it expires and not after"
         );
         if started {
             self.states.get_mut(&ticket).unwrap().0 = State::Running;
@@ -148,7 +152,7 @@
         Ok(())
     }
 
-    fn apply(&mut self) {
+    fn apply_actions(&mut self) {
         for action in self.scheduler.take_actions() {
             match action {
                 Action::Grant { ticket, until } => {
@@ -156,14 +160,21 @@
                         .states
                         .get_mut(&ticket)
                         .expect("a grant for a known ticket");
-                    assert_eq!(state.0, State::Waiting, "granted once");
-                    assert!(!self.draining, "no new work while draining");
+                    assert_eq!(
+                        state.0,
+                        State::Waiting,
+                        "a request is granted only while it waits"
+                    );
+                    assert!(!self.draining, "no grants while draining");
                     state.0 = State::Granted(until);
                 }
                 Action::Refuse { ticket, .. } => {
-                    let (state, ..) = self.states.remove(&ticket).expect("refused once");
+                    let (state, ..) = self
+                        .states
+                        .remove(&ticket)
+                        .expect("a request is refused at most once");
                     let started = matches!(state, State::Running | State::Pausing | State::Paused);
-                    assert!(!started, "what has started is not refused");
+                    assert!(!started, "a started request is not refused");
                 }
                 Action::Pause { ticket } => {
                     let state = self
@@ -175,7 +186,7 @@
                     state.2 += 1;
                     assert!(
                         state.2 <= MAX_PREEMPTIONS,
-                        "one victim is paused at most twice"
+                        "one run is paused at most twice"
                     );
                     state.0 = State::Pausing;
                 }
@@ -191,54 +202,58 @@
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let holding = self
             .states
             .values()
             .filter(|(s, ..)| !matches!(s, State::Waiting | State::Paused))
             .count();
-        assert!(holding as u32 <= SLOTS, "{holding} hold slots");
+        assert!(holding as u32 <= SLOTS, "{holding} requests hold slots");
         assert_eq!(self.scheduler.load().running as usize, holding);
-        let lower = |(s, class, _): &&(State, usize, u32)| {
+        let holds_slot_below_urgent = |(s, class, _): &&(State, usize, u32)| {
             *class > 0 && !matches!(s, State::Waiting | State::Paused)
         };
-        let below = self.states.values().filter(lower).count() as u32;
-        assert!(below < SLOTS, "the reserved slot is left to priority 0");
+        let held_below_urgent = self.states.values().filter(holds_slot_below_urgent).count() as u32;
+        assert!(
+            held_below_urgent < SLOTS,
+            "the reserved slot is used by priority 0 only"
+        );
     }
 
-    fn end(&mut self) {
+    fn drain_and_finish(&mut self) {
         self.draining = true;
         self.scheduler.set_draining(self.now, true);
-        self.apply();
+        self.apply_actions();
         while let Some(ticket) = self.states.keys().next().copied() {
             assert_ne!(
                 self.states[&ticket].0,
                 State::Waiting,
-                "nothing waits once draining"
+                "no request waits while draining"
             );
             self.states.remove(&ticket);
             self.scheduler.finish(self.now, ticket, 5);
-            self.apply();
+            self.apply_actions();
         }
         assert!(self.scheduler.is_idle());
     }
 }
 
 #[test]
-fn any_order() {
+fn any_event_order() {
     arbtest(|u| {
         let mut model = Model::new(Order::Floors);
         for _ in 0..STEPS {
             model.step(u)?;
         }
-        model.end();
+        model.drain_and_finish();
         Ok(())
     });
 }
 
-/// Runs urgent work without end beside batch work; the batch runs that got a slot.
+/// Offers an endless load of urgent requests along with batch requests, and returns the number of
+/// batch runs that started.
 fn batch_starts(order: Order) -> usize {
-    let mut scheduler = Scheduler::new(order, shape());
+    let mut scheduler = Scheduler::new(order, params());
     let mut running: Vec<(Millis, TicketKey)> = Vec::new();
     let mut classes = HashMap::new();
     let mut starts = 0;
@@ -258,12 +273,12 @@
                 classes.insert(scheduler.offer(now, ask), class);
             }
         }
-        running.retain(|(end, ticket)| {
-            let over = *end <= now;
-            if over {
+        running.retain(|(ends_at, ticket)| {
+            let is_done = *ends_at <= now;
+            if is_done {
                 scheduler.finish(now, *ticket, 10);
             }
-            !over
+            !is_done
         });
         for action in scheduler.take_actions() {
             match action {
@@ -285,22 +300,22 @@
 }
 
 #[test]
-fn floors_progress() {
+fn floors_prevent_starvation() {
     let with_floors = batch_starts(Order::Floors);
     let strict = batch_starts(Order::Strict);
     assert!(
         strict <= 2,
-        "without floors the batch starves: {strict} starts"
+        "without floors batch requests starve: {strict} starts"
     );
     assert!(
         with_floors >= 50,
-        "a tenth of the slot time is kept: {with_floors} starts"
+        "batch requests get their tenth of the slot time: {with_floors} starts"
     );
 }
 
 #[test]
-fn changed_classes() {
-    let mut scheduler = Scheduler::new(Order::Floors, shape());
+fn changed_classes_keep_running_requests() {
+    let mut scheduler = Scheduler::new(Order::Floors, params());
     let ask = |class| SlotRequest {
         request: RequestId(1),
         class: ClassKey(class),
@@ -314,7 +329,7 @@
     assert!(scheduler.start(Millis(1), running));
     let without_batch = SchedulerParams {
         classes: vec![class("lookup", 0, 0)],
-        ..shape()
+        ..params()
     };
     let renamed = SchedulerParams {
         classes: vec![
@@ -322,7 +337,7 @@
             class("lookup", 1, 0),
             class("other", 2, 0),
         ],
-        ..shape()
+        ..params()
     };
     scheduler.update_params(Millis(2), without_batch);
     scheduler.update_params(Millis(3), renamed);
