--- a/tests/schedule_sessions.rs
+++ b/tests/schedule_sessions.rs
@@ -1,4 +1,5 @@
-//! Golden files of whole sessions of the scheduler, on a manual clock.
+//! Snapshot tests of whole scheduler sessions: the files in tests/sessions list events with their
+//! times, and the transcript shows the actions that each event causes.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -11,40 +12,41 @@
 
 const DEFAULT_WAIT: u64 = 60_000;
 
+/// A scheduler driven by a session file, and the transcript so far.
 struct Session {
     scheduler: Scheduler,
     names: HashMap<String, TicketKey>,
     tickets: HashMap<TicketKey, String>,
     classes: Vec<ClassSpec>,
-    out: String,
+    transcript: String,
 }
 
 #[test]
 fn sessions() {
     insta::glob!("sessions/*.txt", |path| {
         let text = std::fs::read_to_string(path).unwrap();
-        insta::assert_snapshot!(play(&text));
+        insta::assert_snapshot!(replay(&text));
     });
 }
 
-fn play(text: &str) -> String {
+fn replay(text: &str) -> String {
     let lines: Vec<Vec<&str>> = text
         .lines()
         .filter(|line| !line.starts_with('#') && !line.is_empty())
         .map(|line| line.split_whitespace().collect())
         .collect();
-    let (head, events): (Vec<_>, Vec<_>) = lines
+    let (settings, events): (Vec<_>, Vec<_>) = lines
         .into_iter()
         .partition(|line| line[0].parse::<u64>().is_err());
-    let mut session = open(&head);
+    let mut session = open_session(&settings);
     for event in events {
         session.step(&event);
     }
-    session.out
+    session.transcript
 }
 
-fn open(head: &[Vec<&str>]) -> Session {
-    let mut shape = SchedulerParams {
+fn open_session(settings: &[Vec<&str>]) -> Session {
+    let mut params = SchedulerParams {
         slots: 1,
         reserved: 0,
         grant: Millis(1_000),
@@ -52,11 +54,11 @@
         queue_per_class: 100,
         classes: Vec::new(),
     };
-    for line in head {
+    for line in settings {
         match line[0] {
-            "slots" => shape.slots = line[1].parse().unwrap(),
-            "reserved" => shape.reserved = line[1].parse().unwrap(),
-            "class" => shape.classes.push(ClassSpec {
+            "slots" => params.slots = line[1].parse().unwrap(),
+            "reserved" => params.reserved = line[1].parse().unwrap(),
+            "class" => params.classes.push(ClassSpec {
                 name: line[1].into(),
                 priority: line[2].parse().unwrap(),
                 floor_percent: line[3].parse().unwrap(),
@@ -66,23 +68,23 @@
         }
     }
     Session {
-        classes: shape.classes.clone(),
-        scheduler: Scheduler::new(Order::Floors, shape),
+        classes: params.classes.clone(),
+        scheduler: Scheduler::new(Order::Floors, params),
         names: HashMap::new(),
         tickets: HashMap::new(),
-        out: String::new(),
+        transcript: String::new(),
     }
 }
 
 impl Session {
     fn step(&mut self, event: &[&str]) {
         let now = Millis(event[0].parse().unwrap());
-        writeln!(self.out, "{}", event.join(" ")).unwrap();
+        writeln!(self.transcript, "{}", event.join(" ")).unwrap();
         match event[1] {
             "offer" => self.offer(now, event),
             "start" => {
                 let started = self.scheduler.start(now, self.names[event[2]]);
-                writeln!(self.out, "    started: {started}").unwrap();
+                writeln!(self.transcript, "    started: {started}").unwrap();
             }
             "paused" => self.scheduler.paused(now, self.names[event[2]]),
             "finish" => {
@@ -139,7 +141,7 @@
                 Action::Pause { ticket } => format!("pause {}", self.tickets[&ticket]),
                 Action::Resume { ticket } => format!("resume {}", self.tickets[&ticket]),
             };
-            writeln!(self.out, "    {line}").unwrap();
+            writeln!(self.transcript, "    {line}").unwrap();
         }
     }
 }
