--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoints: by load, by distance, by cached prefix, within a bounded subset.
+//! Choice of endpoints by load, back-off and cached prefix, within a bounded subset of the pool.
 
 use std::collections::{HashMap, HashSet};
 
@@ -9,7 +9,7 @@
 
 const NOW: Millis = Millis(1_000);
 
-fn place() -> Locality {
+fn locality() -> Locality {
     Locality {
         zone: "zone-0".into(),
         region: "region-0".into(),
@@ -39,20 +39,20 @@
     }
 }
 
-fn counts(router: &mut Router, all: &[&Instance], prefix: u64) -> HashMap<String, usize> {
-    let mut counts = HashMap::new();
+fn choice_counts(router: &mut Router, all: &[&Instance], prefix: u64) -> HashMap<String, usize> {
+    let mut choice_counts = HashMap::new();
     for _ in 0..600 {
         let chosen = router.choose(NOW, all, &[], prefix).unwrap();
-        *counts.entry(chosen.id.clone()).or_default() += 1;
+        *choice_counts.entry(chosen.id.clone()).or_default() += 1;
     }
-    counts
+    choice_counts
 }
 
 #[test]
-fn busy_avoided() {
+fn busy_endpoint_avoided() {
     let list = instances(6, 1);
     let all: Vec<&Instance> = list.iter().collect();
-    let mut router = Router::new(Routing::TwoChoices, place(), 1);
+    let mut router = Router::new(Routing::TwoChoices, locality(), 1);
     for instance in &list {
         router.record_load(
             NOW,
@@ -60,81 +60,86 @@
             load(if instance.id == "e3" { 30 } else { 2 }, 100),
         );
     }
-    let found = counts(&mut router, &all, 0);
+    let chosen_counts = choice_counts(&mut router, &all, 0);
     assert!(
-        found.get("e3").copied().unwrap_or_default() < 40,
-        "{found:?}"
+        chosen_counts.get("e3").copied().unwrap_or_default() < 40,
+        "{chosen_counts:?}"
     );
 }
 
 #[test]
-fn slow_avoided() {
+fn slow_endpoint_avoided() {
     let list = instances(6, 1);
     let all: Vec<&Instance> = list.iter().collect();
-    let mut router = Router::new(Routing::TwoChoices, place(), 1);
+    let mut router = Router::new(Routing::TwoChoices, locality(), 1);
     for instance in &list {
         let service = if instance.id == "e3" { 1_000 } else { 100 };
         router.record_load(NOW, &instance.id, load(2, service));
     }
-    let found = counts(&mut router, &all, 0);
+    let chosen_counts = choice_counts(&mut router, &all, 0);
     assert!(
-        found.get("e3").copied().unwrap_or_default() < 40,
-        "{found:?}"
+        chosen_counts.get("e3").copied().unwrap_or_default() < 40,
+        "{chosen_counts:?}"
     );
 }
 
 #[test]
-fn failed_set_aside() {
+fn failed_endpoint_backs_off() {
     let list = instances(3, 1);
     let all: Vec<&Instance> = list.iter().collect();
-    let mut router = Router::new(Routing::TwoChoices, place(), 1);
+    let mut router = Router::new(Routing::TwoChoices, locality(), 1);
     router.record_failure(NOW, "e1");
-    assert!(!counts(&mut router, &all, 0).contains_key("e1"));
+    assert!(!choice_counts(&mut router, &all, 0).contains_key("e1"));
     for id in ["e0", "e2"] {
         router.record_failure(NOW, id);
     }
     assert_eq!(
-        counts(&mut router, &all, 0).len(),
+        choice_counts(&mut router, &all, 0).len(),
         3,
-        "all aside: any is better than none"
+        "when all endpoints back off, all are still used"
     );
     let tried: Vec<String> = list.iter().map(|i| i.id.clone()).collect();
     assert!(router.choose(NOW, &all, &tried, 0).is_none());
 }
 
 #[test]
-fn prefix_kept() {
+fn prefix_stays_at_one_endpoint() {
     let list = instances(9, 1);
     let all: Vec<&Instance> = list.iter().collect();
-    let mut router = Router::new(Routing::TwoChoices, place(), 1);
+    let mut router = Router::new(Routing::TwoChoices, locality(), 1);
     for instance in &list {
         router.record_load(NOW, &instance.id, load(1, 1_000));
     }
-    let found = counts(&mut router, &all, 77);
-    let most = found.iter().max_by_key(|(_, n)| **n).unwrap().0.clone();
+    let chosen_counts = choice_counts(&mut router, &all, 77);
+    let most = chosen_counts
+        .iter()
+        .max_by_key(|(_, n)| **n)
+        .unwrap()
+        .0
+        .clone();
     assert!(
-        found[&most] > 500,
-        "one endpoint holds the prefix: {found:?}"
+        chosen_counts[&most] > 500,
+        "one endpoint gets the requests with the prefix: {chosen_counts:?}"
     );
     router.record_load(NOW, &most, load(30, 1_000));
-    let loaded = counts(&mut router, &all, 77);
+    let counts_under_load = choice_counts(&mut router, &all, 77);
     assert!(
-        loaded.get(&most).copied().unwrap_or_default() < 100,
-        "but not at any load: {loaded:?}"
+        counts_under_load.get(&most).copied().unwrap_or_default() < 100,
+        "a busy endpoint does not get them: {counts_under_load:?}"
     );
 }
 
 #[test]
-fn bounded_subset() {
+fn subset_is_bounded_and_even() {
     let list = instances(400, 4);
     let all: Vec<&Instance> = list.iter().collect();
     let mut uses: HashMap<String, usize> = HashMap::new();
     for entry in 0..300 {
-        let chosen = subset(&all, &place(), entry * 7_919);
+        let chosen = subset(&all, &locality(), entry * 7_919);
         assert_eq!(chosen.len(), SUBSET_SIZE);
         assert!(
             chosen.iter().all(|i| i.region == "region-0"),
-            "the own region has enough"
+            "the entry's own region has enough endpoints"
         );
         for instance in chosen {
             *uses.entry(instance.id.clone()).or_default() += 1;
@@ -146,14 +151,17 @@
         "every endpoint of the region is in some subset"
     );
     let most = uses.values().max().unwrap();
-    assert!(*most < 130, "none is in far more than 72 of them: {most}");
+    assert!(
+        *most < 130,
+        "no endpoint is in far more than the average of 72 subsets: {most}"
+    );
 }
 
 #[test]
-fn widened_search() {
+fn retries_cover_whole_pool() {
     let list = instances(200, 1);
     let all: Vec<&Instance> = list.iter().collect();
-    let mut router = Router::new(Routing::TwoChoices, place(), 1);
+    let mut router = Router::new(Routing::TwoChoices, locality(), 1);
     let mut tried: Vec<String> = Vec::new();
     let mut seen = HashSet::new();
     for _ in 0..150 {
@@ -161,5 +169,9 @@
         seen.insert(chosen.id.clone());
         tried.push(chosen.id.clone());
     }
-    assert_eq!(seen.len(), 150, "nothing outside the subset stays idle");
+    assert_eq!(
+        seen.len(),
+        150,
+        "every try reaches another endpoint, also outside the subset"
+    );
 }
