--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -12,8 +12,8 @@
 use crate::direct::catalog::Catalog;
 use crate::direct::directory::Cordon;
 use crate::direct::directory::{Change, Listing, Revision};
-use crate::direct::load::Report;
-use crate::direct::prefix::Part;
+use crate::direct::load::EndpointReport;
+use crate::direct::prefix::PromptSegment;
 
 /// The properties of a caller's request that decisions depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Path without query.
     pub path: String,
     /// Parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptSegment>,
     /// Expected length of the response, in tokens; the caller's own estimate where it gives one.
     pub output_tokens: u64,
     /// Number of the last event that the caller has received; set when it resumes a stream.
@@ -64,7 +64,7 @@
 pub struct ResponseInfo {
     /// Whether it belongs to the current request; otherwise it is a late response to an earlier
     /// one.
-    pub is_own: bool,
+    pub belongs_to_request: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
     /// Whether a different endpoint than the intended one has this address.
@@ -73,16 +73,16 @@
     /// success does not count.
     pub sealed: bool,
     /// Load that the endpoint reports.
-    pub report: Option<Report>,
+    pub report: Option<EndpointReport>,
     /// Idle time after which the endpoint closes a connection.
     pub idle_time: Option<Millis>,
     /// What the endpoint announces about accepting requests.
     pub announcement: Announcement,
 }
 
-/// Why a caller gets an error response that the entry itself makes.
+/// An error response that the entry itself sends to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum ErrorResponse {
     /// The request did not run and will not; the caller may retry after the given time.
     NotRun(Millis),
     /// The request may have run, but its outcome is unknown.
@@ -109,7 +109,7 @@
     /// The endpoints and cordons on this page.
     pub listing: Listing,
     /// Entries that can't be parsed; they are ignored.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableEntry>,
     /// Key after which the next page starts; `None` for the last page.
     pub next: Option<String>,
     /// The store's revision when it answered.
@@ -118,7 +118,7 @@
 
 /// An entry of the store that can't be parsed; another program may have written it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableEntry {
     /// Its key.
     pub key: String,
     /// The error.
@@ -143,7 +143,7 @@
     Change(Change),
     /// An entry that can't be parsed. Where its key is that of an endpoint, that endpoint is no
     /// longer listed, which is the change.
-    Unreadable(Unreadable, Option<Change>),
+    UnreadableEntry(UnreadableEntry, Option<Change>),
 }
 
 /// Which documents a watch covers.
@@ -190,7 +190,7 @@
     /// Path at which the load balancer checks whether this entry accepts connections.
     fn readiness_path(&self) -> &str;
     /// Parses the head of a caller's request. The error is the response that the caller gets.
-    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, Refusal>;
+    fn parse_request(&self, head: &RequestHead) -> Result<ParsedRequest, ErrorResponse>;
     /// Makes the head of the request to an endpoint; the body is forwarded unchanged.
     fn endpoint_request(
         &self,
@@ -203,7 +203,7 @@
     fn caller_response(&self, head: &ResponseHead) -> ResponseHead;
     /// Makes the head of an error response of the entry itself; `id` is `None` where the request
     /// could not be parsed.
-    fn error_response(&self, refusal: Refusal, id: Option<&HeaderValue>) -> ResponseHead;
+    fn error_response(&self, error: ErrorResponse, id: Option<&HeaderValue>) -> ResponseHead;
 
     /// Makes the request for the configuration in force.
     fn catalog_query(&self) -> RequestHead;
--- a/src/direct/entry/announcements.rs
+++ b/src/direct/entry/announcements.rs
@@ -1,4 +1,4 @@
-//! What endpoints announce of themselves to this entry: taken, logged and counted.
+//! What endpoints announce of themselves to this entry: recorded, logged and counted.
 
 use super::Entry;
 use crate::announced::{Announcement, DeclineReason};
@@ -7,8 +7,14 @@
 use crate::direct::directory::EndpointKey;
 
 impl Entry {
-    /// An endpoint announced something of itself in an answer to a request.
-    pub fn endpoint_announced(&self, key: EndpointKey, announcement: Announcement, request: &[u8]) {
+    /// Records what an endpoint announced of itself in its answer to a request: that it leaves, or
+    /// that it wants no requests for a time. `request` is the caller's id of that request.
+    pub fn record_announcement(
+        &self,
+        key: EndpointKey,
+        announcement: Announcement,
+        request: &[u8],
+    ) {
         if announcement.accepts_requests() {
             return;
         }
@@ -20,19 +26,19 @@
         };
         drop(directory);
         let mut endpoint = String::new();
-        self.account(key, |account| {
-            endpoint.clone_from(&account.id);
+        self.update_endpoint_state(key, |endpoint_state| {
+            endpoint.clone_from(&endpoint_state.id);
             if let Some(rest) = announcement.rest {
                 let until = now + rest.min(longest);
-                account.record.asked_for_rest(now, until);
+                endpoint_state.record.requested_backoff(now, until);
             }
         });
         if announcement.leaves && !before.leaves {
-            self.gauges.announced(DeclineReason::Leaves);
+            self.metrics.announced(DeclineReason::Leaves);
             self.log_announced(request, &endpoint, DeclineReason::Leaves, None);
         }
         if let Some(rest) = announcement.rest {
-            self.gauges.announced(DeclineReason::Rests);
+            self.metrics.announced(DeclineReason::Rests);
             self.log_announced(request, &endpoint, DeclineReason::Rests, Some(rest));
         }
     }
@@ -53,8 +59,8 @@
         self.log.state_change(announced);
     }
 
-    /// Why an endpoint wants no requests now, by its own announcements.
-    pub fn unwilling(&self, key: EndpointKey) -> Option<DeclineReason> {
+    /// Why an endpoint wants no requests now, by its own announcements; `None` if it wants them.
+    pub fn decline_reason(&self, key: EndpointKey) -> Option<DeclineReason> {
         let now = self.clock.now();
         self.directory().get(key)?.announced.decline_reason(now)
     }
--- a/src/direct/peers/compact.rs
+++ b/src/direct/peers/compact.rs
@@ -3,16 +3,16 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::direct::load::{Work, BANDS};
+use crate::direct::load::{EndpointWork, BANDS};
 
 /// Prompt tokens per block, for `unread` and `pressure`.
 const UNREAD_BLOCK: u32 = 64;
 /// Tokens of memory per block, for `held`.
 const HELD_BLOCK: u32 = 256;
-/// Hundredths of a stream per block, for `delicate`.
-const DELICATE_BLOCK: u32 = 4;
+/// Hundredths of a stream per block, for `pause_sensitivity`.
+const PAUSE_SENSITIVITY_BLOCK: u32 = 4;
 
-/// Work at one endpoint; the token counts and `delicate` are in blocks.
+/// Work at one endpoint; the token counts and `pause_sensitivity` are in blocks.
 #[derive(Serialize, Deserialize)]
 struct CompactWork {
     /// Digest of the endpoint's incarnation. Its values are evenly spread, so a fixed length is
@@ -21,30 +21,33 @@
     running: u32,
     unread: [u32; BANDS],
     held: u32,
-    delicate: u32,
+    #[serde(rename = "delicate")]
+    pause_sensitivity: u32,
     pressure: u32,
 }
 
 impl CompactWork {
-    fn from_work(endpoint: u32, work: &Work) -> Self {
+    fn from_work(endpoint: u32, work: &EndpointWork) -> Self {
         Self {
             endpoint: endpoint.to_be_bytes(),
             running: work.running,
             unread: work.unread.map(|tokens| tokens.div_ceil(UNREAD_BLOCK)),
             held: work.held.div_ceil(HELD_BLOCK),
-            delicate: work.delicate.div_ceil(DELICATE_BLOCK),
+            pause_sensitivity: work.pause_sensitivity.div_ceil(PAUSE_SENSITIVITY_BLOCK),
             pressure: work.pressure.div_ceil(UNREAD_BLOCK),
         }
     }
 
-    fn to_work(&self) -> (u32, Work) {
-        let work = Work {
+    fn to_work(&self) -> (u32, EndpointWork) {
+        let work = EndpointWork {
             running: self.running,
             unread: self
                 .unread
                 .map(|compact| compact.saturating_mul(UNREAD_BLOCK)),
             held: self.held.saturating_mul(HELD_BLOCK),
-            delicate: self.delicate.saturating_mul(DELICATE_BLOCK),
+            pause_sensitivity: self
+                .pause_sensitivity
+                .saturating_mul(PAUSE_SENSITIVITY_BLOCK),
             pressure: self.pressure.saturating_mul(UNREAD_BLOCK),
         };
         (u32::from_be_bytes(self.endpoint), work)
@@ -53,7 +56,7 @@
 
 /// Serializes work at endpoints, by their digests.
 pub(super) fn serialize<S: Serializer>(
-    work: &[(u32, Work)],
+    work: &[(u32, EndpointWork)],
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
     let compact = work
@@ -65,7 +68,7 @@
 /// Deserializes work at endpoints, by their digests.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
-) -> Result<Vec<(u32, Work)>, D::Error> {
+) -> Result<Vec<(u32, EndpointWork)>, D::Error> {
     let compact = Vec::<CompactWork>::deserialize(deserializer)?;
     Ok(compact.iter().map(CompactWork::to_work).collect())
 }
--- a/src/direct/peers/rounds.rs
+++ b/src/direct/peers/rounds.rs
@@ -98,7 +98,7 @@
     }
 
     /// Mean time until what another entry does is known here; 0 without peers.
-    pub fn blind(&self, now: Millis) -> Millis {
+    pub fn visibility_delay(&self, now: Millis) -> Millis {
         let neighbor_cycle = self.neighbor_cycle();
         let delay = neighbor_cycle + self.zone_interval(now);
         Millis(delay.0 / 2)
--- a/src/direct/settings.rs
+++ b/src/direct/settings.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
-use crate::direct::budget::Allowance;
+use crate::direct::budget::RetryBudget;
 use crate::direct::warmup::Excess;
 use crate::finding::Findings;
 use crate::settings::Checked;
@@ -47,11 +47,11 @@
     /// Region of each availability zone, by the zone's name.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Bounds that operators set for this installation.
+    /// Bounds that the operators have committed to for this installation.
     pub bounds: Bounds,
 }
 
-/// Bounds that operators set for one installation.
+/// Bounds that the operators have committed to for one installation.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
@@ -101,8 +101,8 @@
     }
 
     /// The retry budget of a pool, over all entries.
-    pub fn retry_budget(&self) -> Allowance {
-        Allowance {
+    pub fn retry_budget(&self) -> RetryBudget {
+        RetryBudget {
             window: Millis(self.retry_window_ms),
             ratio: self.retry_ratio,
             extra: self.retry_extra,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,40 +1,40 @@
-//! Which requests are turned away, by the backlog of their pool and the time that they have.
+//! Which requests are refused, by the backlog of their pool and the time that they have left.
 
 use violetline::clock::Millis;
-use violetline::direct::admission::{Outlook, PlainOutlook};
+use violetline::direct::admission::{EngineAdmission, PlainAdmission};
 
-fn outlook(backlog_ms: f64, expected_ms: f64) -> Outlook {
-    Outlook {
+fn outlook(backlog_ms: f64, expected_ms: f64) -> EngineAdmission {
+    EngineAdmission {
         band: 2,
         expected_ms,
         backlog_ms,
-        tightest: Millis(300),
-        left: Millis(4_000),
-        less_urgent: Millis(0),
+        shortest_target: Millis(300),
+        time_left: Millis(4_000),
+        longest_less_urgent_time: Millis(0),
         has_more_urgent: false,
     }
 }
 
-/// Where a less urgent request is sent, a more urgent one with less time of its own is sent as well.
+/// If a less urgent request is sent, a more urgent one with less time of its own is sent as well.
 #[test]
 fn urgent_goes_first() {
     for backlog in [0.0, 150.0, 300.0, 900.0] {
         for ms in (0..3_000).step_by(50) {
             let expected = f64::from(ms);
-            let less = Outlook {
-                left: Millis(5_000),
+            let less = EngineAdmission {
+                time_left: Millis(5_000),
                 has_more_urgent: true,
                 ..outlook(backlog, expected)
             };
-            let urgent = Outlook {
+            let urgent = EngineAdmission {
                 band: 1,
-                left: Millis(3_000),
-                less_urgent: Millis(5_000),
+                time_left: Millis(3_000),
+                longest_less_urgent_time: Millis(5_000),
                 ..outlook(backlog, expected)
             };
-            let of_team = Outlook {
+            let of_team = EngineAdmission {
                 band: 0,
-                less_urgent: Millis(5_000),
+                longest_less_urgent_time: Millis(5_000),
                 ..less
             };
             assert!(
@@ -49,17 +49,17 @@
     }
 }
 
-/// Entries estimate the wait for a short urgent prompt up to half as long again as for a long one: it is sent all the same
-/// where less urgent ones are, of the two bands below.
+/// The estimated wait for a short urgent prompt can be half as long again as for a long one. The
+/// urgent prompt is still sent where less urgent ones are, for both lower bands.
 #[test]
 fn urgent_waits_longer() {
     for backlog in [0.0, 150.0, 300.0, 900.0] {
         for ms in (0..3_000).step_by(50) {
             let expected = f64::from(ms);
-            let of_band = |band: usize, factor: f64| Outlook {
+            let of_band = |band: usize, factor: f64| EngineAdmission {
                 band,
-                left: Millis([15_000, 3_000, 5_000][band]),
-                less_urgent: Millis([5_000, 5_000, 0][band]),
+                time_left: Millis([15_000, 3_000, 5_000][band]),
+                longest_less_urgent_time: Millis([5_000, 5_000, 0][band]),
                 has_more_urgent: band > 0,
                 ..outlook(backlog, (expected * factor).min(2_900.0))
             };
@@ -72,9 +72,9 @@
     }
 }
 
-/// A long prompt in a pool that is idle is sent, whatever it takes.
+/// A long prompt is sent to an idle pool even if it takes long.
 #[test]
-fn calm_admits() {
+fn idle_pool_admits() {
     assert!(outlook(0.0, 2_300.0).is_admitted());
     assert!(outlook(90.0, 2_300.0).is_admitted());
 }
@@ -85,9 +85,9 @@
     assert!(outlook(300.0, 500.0).is_admitted());
 }
 
-/// What may be waited for falls with the backlog without a step.
+/// The accepted wait falls with the backlog without a step.
 #[test]
-fn falls_evenly() {
+fn accepted_wait_falls_smoothly() {
     let admitted = |backlog: f64| {
         let waits = (0..4_000).step_by(10);
         waits
@@ -102,42 +102,42 @@
         .all(|pair| pair[1] <= pair[0] && pair[0] - pair[1] < 15));
 }
 
-/// Without anything told of targets nothing is turned away for its pool's backlog alone.
+/// Without configured targets, no request is refused because of the pool's backlog alone.
 #[test]
-fn no_target_told() {
-    let outlook = Outlook {
-        tightest: Millis(0),
+fn no_target_configured() {
+    let outlook = EngineAdmission {
+        shortest_target: Millis(0),
         ..outlook(9_000.0, 2_000.0)
     };
     assert!(outlook.is_admitted());
 }
 
-/// Who has hardly any time left is told so at once.
+/// A request with hardly any time left is refused at once.
 #[test]
-fn hopeless_refused() {
-    let hopeless = Outlook {
-        left: Millis(100),
+fn no_time_left_refused() {
+    let hopeless = EngineAdmission {
+        time_left: Millis(100),
         ..outlook(0.0, 400.0)
     };
     assert!(!hopeless.is_admitted());
 }
 
-/// Nothing is turned away from a plain service while a slot is free.
+/// No request is refused by a plain service while a slot is free.
 #[test]
 fn free_slot_admits() {
-    let outlook = PlainOutlook {
+    let outlook = PlainAdmission {
         expected_ms: 900.0,
         is_full: false,
         target: Millis(300),
         has_more_urgent: false,
     };
     assert!(outlook.is_admitted());
-    let full = PlainOutlook {
+    let full = PlainAdmission {
         is_full: true,
         ..outlook
     };
     assert!(!full.is_admitted());
-    let in_time = PlainOutlook {
+    let in_time = PlainAdmission {
         expected_ms: 200.0,
         ..full
     };
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint by estimated time.
+//! Choice of an endpoint by price.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
-use violetline::direct::health::{Fault, Grade, Record};
-use violetline::direct::load::{Footprint, Load, Report};
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::health::{Fault, Grade, HealthRecord};
+use violetline::direct::load::{EndpointLoad, EndpointReport, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -20,11 +20,11 @@
     moves: None,
 };
 
-/// Endpoints a, b, c with their loads and records.
+/// Endpoints a, b and c with their loads and health records.
 struct Pool {
     directory: Directory,
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
     prefixes: PrefixMap,
 }
 
@@ -36,8 +36,8 @@
         }
         Self {
             directory,
-            loads: (0..3).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); 3],
+            loads: (0..3).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); 3],
             prefixes: PrefixMap::default(),
         }
     }
@@ -52,14 +52,14 @@
             endpoint: self.directory.get(self.key(i)).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         choose(demand, candidates, &self.prefixes, NOW).unwrap()
     }
 }
 
-fn demand(parts: &[Part]) -> Demand<'_> {
+fn demand(parts: &[PromptSegment]) -> Demand<'_> {
     Demand {
         band: 2,
         parts,
@@ -67,79 +67,79 @@
         target: Millis(1_200),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 6,
+        pause_sensitivity: 6,
         pause: Millis(250),
-        blind: Millis(0),
-        room: RoomFor::default(),
+        visibility_delay: Millis(0),
+        room: RoomInputs::default(),
         draw: 0,
     }
 }
 
-fn part(id: u64, tokens: u64) -> Part {
-    Part { id, tokens }
+fn part(id: u64, tokens: u64) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
-fn prompt() -> [Part; 3] {
+fn prompt() -> [PromptSegment; 3] {
     [part(1, 2_500), part(2, 3_800), part(3, 2_900)]
 }
 
-fn ids(parts: &[Part]) -> impl Iterator<Item = u64> + '_ {
+fn ids(parts: &[PromptSegment]) -> impl Iterator<Item = u64> + '_ {
     parts.iter().map(|part| part.id)
 }
 
-fn footprint(unread: u32, delicate: u32) -> Footprint {
+fn footprint(unread: u32, pause_sensitivity: u32) -> Footprint {
     Footprint {
         band: 2,
         unread,
         held: unread + 100,
-        delicate,
+        pause_sensitivity,
     }
 }
 
 #[test]
-fn stays_at_cache() {
+fn cached_prefix_preferred() {
     let mut pool = Pool::new();
     let parts = prompt();
     let other = [parts[0], parts[1], part(9, 500)];
     for i in 0..3 {
         let key = pool.key(i);
         pool.prefixes.forget(key);
-        pool.prefixes.note(key, ids(&other), NOW, NOW);
+        pool.prefixes.record_use(key, ids(&other), NOW, NOW);
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.key, key);
-        assert_eq!(choice.supply.kept, 6_300);
+        assert_eq!(choice.reuse.cached, 6_300);
         assert_eq!(choice.footprint.unread, 2_900);
         pool.prefixes.forget(key);
     }
 }
 
 #[test]
-fn leaves_full_cache() {
+fn overloaded_cache_avoided() {
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(1);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     for _ in 0..12 {
         pool.loads[1].begin(footprint(9_000, 6), NOW);
     }
     assert_ne!(pool.choose(demand(&parts)).key, key);
 }
 
-/// A short queue does not drive a prompt from where it is kept.
+/// A prompt stays at the endpoint that has its prefix cached, despite a short queue there.
 #[test]
-fn known_place_holds() {
+fn short_queue_keeps_cache() {
     let mut pool = Pool::new();
     let parts = prompt();
     let first = pool.choose(demand(&parts)).key;
     let other = (0..3).find(|i| pool.key(*i) != first).unwrap();
     let key = pool.key(other);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     pool.loads[other].begin(footprint(9_000, 6), NOW);
     assert_eq!(pool.choose(demand(&parts)).key, pool.key(other));
 }
 
 #[test]
-fn long_avoids_delicate() {
+fn long_prompt_avoids_streams() {
     let mut pool = Pool::new();
     let parts = [part(1, 9_000)];
     for _ in 0..5 {
@@ -149,15 +149,16 @@
     assert_eq!(pool.choose(demand(&parts)).key, pool.key(2));
 }
 
-/// Delicate streams and long prompts that come by turns never meet while there is room apart.
+/// Latency-sensitive streams and long prompts that arrive in turns are never placed on the same
+/// endpoint while there is enough capacity to separate them.
 #[test]
-fn delicate_and_long_part() {
+fn streams_and_long_prompts_separate() {
     let mut pool = Pool::new();
     let long = [part(1, 9_000)];
     let short = [part(2, 500)];
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&short)
     };
     let place = |pool: &mut Pool, demand: Demand<'_>| {
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn slots_bound_crowding() {
+fn full_batch_avoided() {
     let mut pool = Pool::new();
     let parts = [part(1, 500)];
     for i in [0, 2] {
@@ -189,7 +190,7 @@
     }
     let urgent = Demand {
         band: 0,
-        delicate: 100,
+        pause_sensitivity: 100,
         ..demand(&parts)
     };
     assert_ne!(pool.choose(urgent).key, pool.key(1));
@@ -199,7 +200,7 @@
 fn failing_avoided() {
     let mut pool = Pool::new();
     for i in [0, 1] {
-        pool.records[i].failed(NOW, Fault::Contact);
+        pool.records[i].failed(NOW, Fault::Unreachable);
     }
     let choice = pool.choose(demand(&[part(1, 500)]));
     assert_eq!((choice.key, choice.grade), (pool.key(2), Grade::Good));
@@ -209,13 +210,13 @@
 fn all_failing_used() {
     let mut pool = Pool::new();
     for record in &mut pool.records {
-        record.failed(NOW, Fault::Contact);
+        record.failed(NOW, Fault::Unreachable);
     }
     assert_eq!(pool.choose(demand(&[])).grade, Grade::Poor);
 }
 
 #[test]
-fn own_zone_first() {
+fn own_zone_preferred() {
     let mut pool = Pool::new();
     for id in ["a", "b"] {
         let far = ListedEndpoint {
@@ -226,7 +227,7 @@
     }
     let plain = Demand {
         engine: None,
-        delicate: 0,
+        pause_sensitivity: 0,
         ..demand(&[])
     };
     assert_eq!(pool.choose(plain).key, pool.key(2));
@@ -235,13 +236,13 @@
 #[test]
 fn endpoint_reports_waiting() {
     let mut pool = Pool::new();
-    let report = Report {
+    let report = EndpointReport {
         running: 6,
         waiting: 10,
         slots: 6,
     };
-    pool.loads[0].reported(report, NOW);
-    pool.loads[1].reported(report, NOW);
+    pool.loads[0].record_report(report, NOW);
+    pool.loads[1].record_report(report, NOW);
     assert_eq!(pool.choose(demand(&[])).key, pool.key(2));
 }
 
@@ -250,7 +251,7 @@
     let mut pool = Pool::new();
     let parts = prompt();
     let key = pool.key(0);
-    pool.prefixes.note(key, ids(&parts), NOW, NOW);
+    pool.prefixes.record_use(key, ids(&parts), NOW, NOW);
     let held = Footprint {
         held: 280_000,
         ..footprint(0, 0)
@@ -259,11 +260,12 @@
     assert_ne!(pool.choose(demand(&parts)).key, key);
 }
 
-/// Prompts beyond any engine's memory are estimated and counted like others.
+/// Prompts larger than the memory of any engine are estimated and counted like others; the counts
+/// saturate.
 #[test]
 fn huge_prompts() {
     let mut pool = Pool::new();
-    let parts: Vec<Part> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
+    let parts: Vec<PromptSegment> = (0..2_000).map(|id| part(id, 1 << 24)).collect();
     for _ in 0..3 {
         let choice = pool.choose(demand(&parts));
         assert_eq!(choice.footprint.unread, u32::MAX);
@@ -272,16 +274,16 @@
     assert_eq!(pool.loads[0].total(NOW).running, 3);
 }
 
-/// A delay far below the target costs less than the streams that reading would make late.
+/// A delay far below the target costs less than delaying streams by prefill.
 #[test]
-fn target_leaves_room() {
+fn slack_spares_streams() {
     let mut pool = Pool::new();
     let parts = [part(1, 4_000)];
     let stream = Footprint {
         band: 0,
         ..footprint(0, 100)
     };
-    // More streams than are kept apart.
+    // More streams than the pool reserves endpoints for.
     for _ in 0..6 {
         pool.loads[0].begin(stream, NOW);
         pool.loads[2].begin(stream, NOW);
--- a/tests/direct_freshness.rs
+++ b/tests/direct_freshness.rs
@@ -1,4 +1,4 @@
-//! The age of what a direct entry knows is never told too young.
+//! The reported age of an entry's configuration is never less than its real age.
 
 use violetline::clock::Millis;
 use violetline::direct::freshness::Freshness;
@@ -7,7 +7,7 @@
 fn unproven_never_fresh() {
     let freshness = Freshness::default();
     assert_eq!(freshness.age(Millis(5)), None);
-    assert!(!freshness.within(Millis(5), Millis(10_000)));
+    assert!(!freshness.is_younger_than(Millis(5), Millis(10_000)));
 }
 
 #[test]
@@ -15,8 +15,8 @@
     let mut freshness = Freshness::default();
     freshness.prove(Millis(1_000));
     assert_eq!(freshness.age(Millis(4_000)), Some(Millis(3_000)));
-    assert!(freshness.within(Millis(4_000), Millis(3_001)));
-    assert!(!freshness.within(Millis(4_000), Millis(3_000)));
+    assert!(freshness.is_younger_than(Millis(4_000), Millis(3_001)));
+    assert!(!freshness.is_younger_than(Millis(4_000), Millis(3_000)));
 }
 
 #[test]
@@ -36,8 +36,8 @@
     assert_eq!(freshness.age(Millis(6_000)), Some(Millis(2_500)));
 }
 
-/// Whatever is passed on between two clocks, and however long each message lies in a buffer, a
-/// proof is at least as old as the question to the store.
+/// However a proof is forwarded between two clocks, and however long each message lies in a buffer,
+/// it is at least as old as the question to the store.
 #[test]
 fn never_too_young() {
     arbtest::arbtest(|u| {
--- a/tests/direct_health.rs
+++ b/tests/direct_health.rs
@@ -1,11 +1,11 @@
-//! Health of endpoints by real work.
+//! Health of endpoints, as observed through real requests.
 
 use violetline::clock::Millis;
-use violetline::direct::health::{Fault, Grade, Record};
+use violetline::direct::health::{Fault, Grade, HealthRecord};
 
 #[test]
-fn three_failures() {
-    let mut record = Record::default();
+fn three_failures_eject() {
+    let mut record = HealthRecord::default();
     assert!(!record.failed(Millis(0), Fault::Answer));
     assert!(!record.failed(Millis(0), Fault::Answer));
     assert!(record.failed(Millis(0), Fault::Answer));
@@ -14,41 +14,41 @@
 }
 
 #[test]
-fn unreachable_at_once() {
-    let mut record = Record::default();
-    assert!(record.failed(Millis(0), Fault::Contact));
-    assert!(record.is_aside());
+fn unreachable_ejected_at_once() {
+    let mut record = HealthRecord::default();
+    assert!(record.failed(Millis(0), Fault::Unreachable));
+    assert!(record.is_ejected());
 }
 
 #[test]
-fn half_failing() {
-    let mut record = Record::default();
+fn half_failing_ejected() {
+    let mut record = HealthRecord::default();
     for _ in 0..20 {
         record.failed(Millis(0), Fault::Answer);
         record.succeeded();
     }
     record.failed(Millis(0), Fault::Answer);
-    assert!(record.is_aside());
+    assert!(record.is_ejected());
 }
 
-/// A share of failures that is usual for a service does not set its endpoints aside for good.
+/// A failure rate that is normal for a service does not eject its endpoints.
 #[test]
-fn seldom_failing() {
-    let mut record = Record::default();
+fn seldom_failing_kept() {
+    let mut record = HealthRecord::default();
     for i in 0..70 {
         if i % 7 == 0 {
             record.failed(Millis(0), Fault::Answer);
         } else {
             record.succeeded();
         }
-        assert!(!record.is_aside());
+        assert!(!record.is_ejected());
     }
 }
 
 #[test]
-fn trials_grow_apart() {
-    let mut record = Record::default();
-    record.failed(Millis(0), Fault::Contact);
+fn trials_are_spaced_out() {
+    let mut record = HealthRecord::default();
+    record.failed(Millis(0), Fault::Unreachable);
     record.failed(Millis(700), Fault::Answer);
     assert_eq!(record.grade(Millis(2_000)), Grade::Poor);
     assert_eq!(record.grade(Millis(2_100)), Grade::Trial);
@@ -59,21 +59,22 @@
 }
 
 #[test]
-fn slowness_forgotten() {
-    let mut record = Record::default();
+fn slowness_decays() {
+    let mut record = HealthRecord::default();
     for _ in 0..30 {
-        record.began(Millis(1_000), Millis(500), 100.0);
+        record.observe_response_time(Millis(1_000), Millis(500), 100.0);
     }
     assert!(record.slowness(Millis(1_000)) > 4.5);
     assert!(record.slowness(Millis(5_000)) < 3.1);
     assert!(record.slowness(Millis(60_000)) < 1.1);
 }
 
-/// After its time of rest an endpoint is tried with one request; one that asks again at each trial is left for longer.
+/// After its back-off an endpoint is tried with one request; one that asks again at each trial is
+/// left alone for longer each time.
 #[test]
-fn tried_after_rest() {
-    let mut record = Record::default();
-    record.asked_for_rest(Millis(0), Millis(3_000));
+fn tried_after_backoff() {
+    let mut record = HealthRecord::default();
+    record.requested_backoff(Millis(0), Millis(3_000));
     assert_eq!(record.grade(Millis(2_999)), Grade::Poor);
     assert_eq!(record.grade(Millis(3_000)), Grade::Trial);
     record.succeeded();
@@ -81,7 +82,7 @@
     let mut now = Millis(10_000);
     let mut last = Millis(0);
     for _ in 0..6 {
-        record.asked_for_rest(now, now + Millis(100));
+        record.requested_backoff(now, now + Millis(100));
         let trial = (now.0..).find(|at| record.grade(Millis(*at)) == Grade::Trial);
         let aside = Millis(trial.unwrap()) - now;
         assert!(aside >= last && aside >= Millis(100), "{aside:?}");
@@ -90,11 +91,12 @@
     assert_eq!(last, Millis(6_000));
 }
 
-/// A rest that ends sooner, asked for by an answer that was under way, does not end an earlier one.
+/// A shorter back-off, requested by a response that was still in transit, does not cut an earlier
+/// one short.
 #[test]
-fn later_rest_counts() {
-    let mut record = Record::default();
-    record.asked_for_rest(Millis(0), Millis(3_000));
-    record.asked_for_rest(Millis(50), Millis(1_000));
+fn longer_backoff_counts() {
+    let mut record = HealthRecord::default();
+    record.requested_backoff(Millis(0), Millis(3_000));
+    record.requested_backoff(Millis(50), Millis(1_000));
     assert_eq!(record.grade(Millis(2_999)), Grade::Poor);
 }
--- a/tests/direct_lanes.rs
+++ b/tests/direct_lanes.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are kept for delicate streams.
+//! Endpoints that are reserved for latency-sensitive streams.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use violetline::clock::Millis;
 use violetline::direct::catalog::EngineCapacity;
 use violetline::direct::choose::choose;
-use violetline::direct::demand::{Candidate, Demand, Seen};
+use violetline::direct::demand::{Candidate, CandidateState, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey, ListedEndpoint};
-use violetline::direct::health::{Fault, Record};
-use violetline::direct::lanes::Lanes;
-use violetline::direct::load::{Footprint, Load};
-use violetline::direct::prefix::{Part, PrefixMap};
-use violetline::direct::room::RoomFor;
+use violetline::direct::health::{Fault, HealthRecord};
+use violetline::direct::lanes::StreamPartition;
+use violetline::direct::load::{EndpointLoad, Footprint};
+use violetline::direct::prefix::{PrefixMap, PromptSegment};
+use violetline::direct::room::RoomInputs;
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -20,15 +20,15 @@
     memory_tokens: 290_000,
     moves: None,
 };
-/// Prompt tokens that an endpoint reads in a millisecond.
-const READS: f64 = 50.0;
+/// Prompt tokens that an endpoint prefills per millisecond.
+const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
-/// Endpoints of 64 slots.
+/// A pool of endpoints with 64 slots each.
 struct Pool {
     directory: Directory,
     keys: Vec<EndpointKey>,
-    loads: Vec<Load>,
-    records: Vec<Record>,
+    loads: Vec<EndpointLoad>,
+    records: Vec<HealthRecord>,
 }
 
 impl Pool {
@@ -45,8 +45,8 @@
         Self {
             keys: (0..count).map(key).collect(),
             directory,
-            loads: (0..count).map(|_| Load::default()).collect(),
-            records: vec![Record::default(); count],
+            loads: (0..count).map(|_| EndpointLoad::default()).collect(),
+            records: vec![HealthRecord::default(); count],
         }
     }
 
@@ -56,18 +56,19 @@
             endpoint: self.directory.get(self.keys[i]).unwrap(),
             load: &self.loads[i],
             record: &self.records[i],
-            warming: false,
+            is_warming: false,
             is_limited: false,
         };
         (0..self.keys.len()).map(candidate).collect()
     }
 
-    /// Positions of the endpoints that are kept for delicate streams.
-    fn kept(&self) -> Vec<usize> {
-        let all: Vec<Seen<'_>> = self.candidates().into_iter().map(see).collect();
-        let lanes = Lanes::part(&all, READS);
-        let is_kept = |i: &usize| lanes.is_delicate(self.keys[*i]);
-        (0..self.keys.len()).filter(is_kept).collect()
+    /// Positions of the endpoints that are reserved for latency-sensitive streams.
+    fn reserved(&self) -> Vec<usize> {
+        let all: Vec<CandidateState<'_>> =
+            self.candidates().into_iter().map(candidate_state).collect();
+        let partition = StreamPartition::compute(&all, PREFILL_TOKENS_PER_MS);
+        let is_reserved = |i: &usize| partition.is_reserved(self.keys[*i]);
+        (0..self.keys.len()).filter(is_reserved).collect()
     }
 
     fn begin(&mut self, i: usize, footprint: Footprint) {
@@ -83,19 +84,20 @@
     }
 }
 
-fn see(candidate: Candidate<'_>) -> Seen<'_> {
-    Seen {
+fn candidate_state(candidate: Candidate<'_>) -> CandidateState<'_> {
+    CandidateState {
         total: candidate.load.total(NOW),
-        known: 0,
-        ready: 0,
-        is_kept: false,
-        first_read: None,
+        cached_tokens: 0,
+        transferable_tokens: 0,
+        is_reserved: false,
+        uncached_home_tokens: None,
         candidate,
     }
 }
 
-/// A stream with the tightest pauses, at an entry that does not see others' choices yet.
-fn urgent(parts: &[Part], draw: u64) -> Demand<'_> {
+/// A stream with the shortest allowed pause, at an entry that does not see other entries' choices
+/// yet.
+fn urgent_demand(parts: &[PromptSegment], draw: u64) -> Demand<'_> {
     Demand {
         band: 0,
         parts,
@@ -103,20 +105,20 @@
         target: Millis(300),
         zone: "hall-a",
         engine: Some(ENGINE),
-        delicate: 100,
+        pause_sensitivity: 100,
         pause: Millis(250),
-        blind: Millis(300),
-        room: RoomFor::default(),
+        visibility_delay: Millis(300),
+        room: RoomInputs::default(),
         draw,
     }
 }
 
-fn stream() -> Footprint {
+fn urgent_stream() -> Footprint {
     Footprint {
         band: 0,
         unread: 500,
         held: 800,
-        delicate: 100,
+        pause_sensitivity: 100,
     }
 }
 
@@ -125,58 +127,62 @@
         band: 2,
         unread: 9_000,
         held: 9_100,
-        delicate: 0,
+        pause_sensitivity: 0,
     }
 }
 
 #[test]
-fn follows_load() {
+fn partition_follows_load() {
     let mut pool = Pool::new(12);
-    assert_eq!(pool.kept().len(), 1, "room for the first stream");
+    assert_eq!(pool.reserved().len(), 1, "room for the first stream");
     for i in 0..12 {
         pool.begin(i, long_prompt());
     }
-    assert_eq!(pool.kept().len(), 1);
+    assert_eq!(pool.reserved().len(), 1);
     for i in 0..30 {
-        pool.begin(i % 3, stream());
+        pool.begin(i % 3, urgent_stream());
     }
-    let some = pool.kept().len();
+    let some = pool.reserved().len();
     assert!((2..=6).contains(&some), "{some} of 12");
     for i in 0..5 {
-        pool.begin(i, stream());
+        pool.begin(i, urgent_stream());
     }
-    assert!(pool.kept().is_empty(), "too many streams to be kept apart");
+    assert!(
+        pool.reserved().is_empty(),
+        "too many streams to be kept apart"
+    );
 }
 
-/// In a large pool streams are kept apart up to a third of it: long prompts find room on the rest.
+/// In a large pool, up to nearly a third of the endpoints is reserved for streams, because the
+/// others have capacity for long prompts.
 #[test]
-fn large_pool_parts() {
+fn large_pool_partitioned() {
     for (count, streams, parts) in [(12, 60, false), (180, 900, true), (180, 1_500, false)] {
         let mut pool = Pool::new(count);
         for i in 0..count {
             pool.begin(i, long_prompt());
         }
         for i in 0..streams {
-            pool.begin(i % count, stream());
+            pool.begin(i % count, urgent_stream());
         }
-        assert_eq!(!pool.kept().is_empty(), parts, "{streams} on {count}");
+        assert_eq!(!pool.reserved().is_empty(), parts, "{streams} on {count}");
     }
 }
 
-/// More load adds endpoints to those kept and takes none away, so entries disagree on few, until
-/// there are too many streams to be kept apart.
+/// More load adds endpoints to those reserved and removes none, so that entries disagree about few,
+/// until there are too many streams to reserve endpoints for.
 #[test]
 fn grows_in_order() {
     let mut pool = Pool::new(40);
     for i in 0..40 {
         pool.begin(i, long_prompt());
     }
-    let mut before = pool.kept();
+    let mut before = pool.reserved();
     for _ in 0..10 {
         for _ in 0..10 {
-            pool.begin(0, stream());
+            pool.begin(0, urgent_stream());
         }
-        let now = pool.kept();
+        let now = pool.reserved();
         assert!(before.iter().all(|i| now.contains(i)));
         before = now;
     }
@@ -184,18 +190,19 @@
 }
 
 #[test]
-fn failing_not_kept() {
+fn failing_not_reserved() {
     let mut pool = Pool::new(4);
     for _ in 0..2 {
-        let kept = pool.kept();
-        assert_eq!(kept.len(), 1);
-        pool.records[kept[0]].failed(NOW, Fault::Contact);
-        assert_ne!(pool.kept(), kept);
+        let reserved = pool.reserved();
+        assert_eq!(reserved.len(), 1);
+        pool.records[reserved[0]].failed(NOW, Fault::Unreachable);
+        assert_ne!(pool.reserved(), reserved);
     }
-    assert!(Pool::new(1).kept().is_empty());
+    assert!(Pool::new(1).reserved().is_empty());
 }
 
-/// A burst of streams takes endpoints over from long prompts before it fills any to its slots.
+/// A burst of streams takes over endpoints from long prompts before it fills any of them
+/// completely.
 #[test]
 fn burst_spreads() {
     let mut pool = Pool::new(12);
@@ -204,22 +211,25 @@
             pool.begin(i, long_prompt());
         }
     }
-    let parts = [Part { id: 1, tokens: 500 }];
+    let parts = [PromptSegment { id: 1, tokens: 500 }];
     for draw in 0..400 {
-        let i = pool.choose(urgent(&parts, draw));
-        pool.begin(i, stream());
-        let running = pool.loads[i].total(NOW).delicate / 100;
+        let i = pool.choose(urgent_demand(&parts, draw));
+        pool.begin(i, urgent_stream());
+        let running = pool.loads[i].total(NOW).pause_sensitivity / 100;
         assert!(running < 64, "{running} streams at one endpoint");
     }
-    let all_take = pool.loads.iter().all(|load| load.total(NOW).delicate > 0);
+    let all_take = pool
+        .loads
+        .iter()
+        .all(|load| load.total(NOW).pause_sensitivity > 0);
     assert!(all_take, "some endpoint takes none");
 }
 
-/// Entries that know the same and choose at the same moment choose different endpoints.
+/// Entries with the same knowledge that choose at the same moment choose different endpoints.
 #[test]
-fn unseen_choices_part() {
+fn invisible_choices_spread() {
     let pool = Pool::new(12);
-    let parts = [Part {
+    let parts = [PromptSegment {
         id: 1,
         tokens: 9_000,
     }];
@@ -228,8 +238,8 @@
         let demand = Demand {
             band: 2,
             output_tokens: 50,
-            delicate: 6,
-            ..urgent(&parts, draw)
+            pause_sensitivity: 6,
+            ..urgent_demand(&parts, draw)
         };
         chosen[pool.choose(demand)] += 1;
     }
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -1,4 +1,6 @@
-//! A watch that lost its answer is noticed: by the store's return, or by a peer that is ahead.
+//! Changes of the list of endpoints and of the configuration at an entry: a watch that lost its
+//! response is noticed by the store's return or by a peer that is ahead, and older answers undo
+//! nothing.
 
 mod common;
 
@@ -12,63 +14,65 @@
 use violetline::direct::peers::{GossipMessage, PeerId, WorkScope};
 use violetline::direct::sync::{time_until_proof_due, CallError};
 
-fn asks_again(entry: &Entry) -> bool {
-    entry.watch_again.notified().now_or_never().is_some()
+fn is_rewatch_requested(entry: &Entry) -> bool {
+    entry.rewatch_requested.notified().now_or_never().is_some()
 }
 
 #[test]
 fn store_returns() {
     let (_, entry) = entry();
     entry.store_answered();
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
     entry.store_failed(&CallError::Connection(ExchangeError::Lost));
     entry.store_answered();
-    assert!(asks_again(&entry));
+    assert!(is_rewatch_requested(&entry));
     entry.store_answered();
-    assert!(!asks_again(&entry));
+    assert!(!is_rewatch_requested(&entry));
 }
 
 #[test]
 fn peer_is_ahead() {
     let (clock, entry) = entry();
-    entry.take_changes(Vec::new(), 10);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 10);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(649));
-    entry.peer_applied(11);
-    assert!(!asks_again(&entry));
+    entry.note_peer_list_revision(11);
+    assert!(!is_rewatch_requested(&entry));
     clock.advance(Millis(1));
-    entry.peer_applied(11);
-    assert!(asks_again(&entry));
+    entry.note_peer_list_revision(11);
+    assert!(is_rewatch_requested(&entry));
 }
 
-/// A peer that is as far behind says nothing about the one that is ahead.
+/// A peer that is as far behind as this entry does not restart the time for which another one is
+/// ahead.
 #[test]
 fn others_behind_too() {
     let (clock, entry) = entry();
-    entry.take_changes(Vec::new(), 10);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 10);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(400));
-    entry.peer_applied(10);
+    entry.note_peer_list_revision(10);
     clock.advance(Millis(250));
-    entry.peer_applied(11);
-    assert!(asks_again(&entry));
+    entry.note_peer_list_revision(11);
+    assert!(is_rewatch_requested(&entry));
 }
 
 #[test]
 fn watch_catches_up() {
     let (clock, entry) = entry();
-    entry.peer_applied(11);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(500));
-    entry.take_changes(Vec::new(), 11);
-    entry.peer_applied(11);
+    entry.apply_changes(Vec::new(), 11);
+    entry.note_peer_list_revision(11);
     clock.advance(Millis(500));
-    entry.peer_applied(12);
-    assert!(!asks_again(&entry));
+    entry.note_peer_list_revision(12);
+    assert!(!is_rewatch_requested(&entry));
 }
 
-/// Peers' proofs spare questions to the store, but not while it is away: its return must be noticed.
+/// Peers' proofs save requests to the store, but not while it is unreachable: its return must be
+/// noticed.
 #[test]
-fn away_is_asked_on() {
+fn unreachable_store_polled() {
     let (_, entry) = entry();
     entry.store_answered();
     entry.set_watching(true);
@@ -84,20 +88,21 @@
     assert_eq!(time_until_proof_due(&entry, Millis(700)), Millis(0));
 }
 
-/// A question to the store proves the configuration, whatever is known of endpoints meanwhile.
+/// A request to the store proves the configuration, whatever is known of endpoints by then.
 #[test]
 fn proof_by_catalog() {
     let (clock, entry) = entry();
     assert!(!entry.prove_up_to(Millis(900), 10));
-    entry.take_changes(Vec::new(), 10);
+    entry.apply_changes(Vec::new(), 10);
     assert_eq!(entry.proof_age(), None);
     clock.advance(Millis(100));
-    entry.catalog_known_up_to(10);
+    entry.confirm_catalog_at(10);
     assert_eq!(entry.proof_age(), Some(Millis(200)));
     assert_eq!(entry.applied(), 10);
 }
 
-/// An older entry that a slower answer brings does not bring back an endpoint that has left.
+/// An older item of the list, in a response that arrives late, does not bring back an endpoint that
+/// has left.
 #[test]
 fn older_changes_ignored() {
     let (_, entry) = entry();
@@ -106,43 +111,43 @@
         id: "i-1".into(),
         revision: 7,
     };
-    entry.take_changes(vec![put()], 5);
+    entry.apply_changes(vec![put()], 5);
     assert!(entry.directory().key("i-1").is_some());
-    entry.take_changes(vec![removed], 7);
-    entry.take_changes(vec![put()], 6);
+    entry.apply_changes(vec![removed], 7);
+    entry.apply_changes(vec![put()], 6);
     assert!(entry.directory().key("i-1").is_none());
-    assert_eq!(entry.listed_up_to(), 7);
+    assert_eq!(entry.list_revision(), 7);
 }
 
-/// An endpoint that has left would come back for good, and get requests: a listing that was begun before it left is read to
-/// its end after a peer has told of that.
+/// A listing that began before an endpoint left is read to its end after a peer has reported the
+/// removal. If it brought the endpoint back, the endpoint would stay for good and get requests.
 #[test]
 fn older_listing() {
     let (_, entry) = entry();
     let all = || vec![listed("i-1", 3), listed("i-2", 4)];
-    entry.take_listing(all(), 5);
+    entry.apply_listing(all(), 5);
     let removed = Change::Removed {
         id: "i-1".into(),
         revision: 7,
     };
-    entry.take_changes(vec![removed], 7);
-    entry.take_listing([all(), vec![listed("i-3", 8)]].concat(), 6);
+    entry.apply_changes(vec![removed], 7);
+    entry.apply_listing([all(), vec![listed("i-3", 8)]].concat(), 6);
     assert!(entry.directory().key("i-1").is_none());
     assert!(entry.directory().key("i-2").is_some());
     assert!(entry.directory().key("i-3").is_some(), "written meanwhile");
-    assert_eq!(entry.listed_up_to(), 7);
+    assert_eq!(entry.list_revision(), 7);
 }
 
-/// A whole listing is passed on as the changes that it makes, so that peers need not list after the store
-/// has dropped its history.
+/// A whole listing is forwarded as the changes that it makes, so that peers need not read a listing
+/// after the store has dropped its history.
 #[test]
-fn listing_passed_on() {
+fn listing_forwarded() {
     let (_, entry) = entry();
     let listed = |id: &str, revision| common::listed(id, revision);
-    entry.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    entry.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let first = entry.changes_since(0).unwrap();
     assert_eq!((first.changes.len(), first.up_to), (2, 5));
-    entry.take_listing(vec![listed("i-2", 4), listed("i-3", 8)], 9);
+    entry.apply_listing(vec![listed("i-2", 4), listed("i-3", 8)], 9);
     assert_eq!(entry.changes_after(), 0);
     let passed = entry.changes_since(5).unwrap();
     let removed = Change::Removed {
@@ -153,7 +158,7 @@
     assert_eq!(passed.changes.len(), 2);
     assert!(passed.changes.contains(&removed));
     assert!(passed.changes.contains(&Change::Put(listed("i-3", 8))));
-    entry.take_listing(vec![listed("i-9", 2)], 7);
+    entry.apply_listing(vec![listed("i-9", 2)], 7);
     assert_eq!(
         entry.changes_since(9),
         None,
@@ -161,51 +166,53 @@
     );
 }
 
-/// What an entry passes to another one that asks for the changes after a revision.
-fn pass(from: &Entry, to: &Entry) {
-    let passed = from.changes_since(to.listed_up_to());
+/// Sends `to` the changes that `from` has after the list of `to`.
+fn forward(from: &Entry, to: &Entry) {
+    let passed = from.changes_since(to.list_revision());
     let written = passed.as_ref().and_then(changes::encode);
     if let Some(passed) = written.as_deref().and_then(changes::decode) {
-        to.take_passed_on(passed);
+        to.apply_peer_changes(passed);
     }
 }
 
-/// Requests reached an endpoint up to 2.5 s after it had left: an entry that had just started listed everything without
-/// it, and its peers took their lists for complete up to there by what it passed on, which did not tell that it had left.
+/// Requests reached an endpoint up to 2.5 s after it had left. An entry that had just started read
+/// a listing without it, and its peers took their lists for complete up to that revision by the
+/// changes that it forwarded, which did not contain the removal.
 #[test]
 fn left_before_listing() {
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let (_, fresh) = entry();
-    fresh.take_listing(vec![listed("i-2", 4)], 6);
-    pass(&fresh, &peer);
-    assert_eq!(peer.listed_up_to(), 5);
+    fresh.apply_listing(vec![listed("i-2", 4)], 6);
+    forward(&fresh, &peer);
+    assert_eq!(peer.list_revision(), 5);
     let removed = Change::Removed {
         id: "i-1".into(),
         revision: 6,
     };
-    peer.take_changes(vec![removed], 6);
+    peer.apply_changes(vec![removed], 6);
     assert!(peer.directory().key("i-1").is_none());
 }
 
-/// The same by an entry that has the changes from the fresh one, and where the list got further meanwhile.
+/// The same through an entry that has the changes from the fresh one, and for a list that has
+/// advanced into the span of the listing meanwhile.
 #[test]
-fn left_second_hand() {
+fn left_before_forwarded_listing() {
     let (_, fresh) = entry();
-    fresh.take_listing(vec![listed("i-2", 4)], 6);
+    fresh.apply_listing(vec![listed("i-2", 4)], 6);
     let (_, empty) = entry();
-    pass(&fresh, &empty);
-    assert_eq!(empty.listed_up_to(), 6);
+    forward(&fresh, &empty);
+    assert_eq!(empty.list_revision(), 6);
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
-    pass(&empty, &peer);
-    assert_eq!(peer.listed_up_to(), 5);
-    peer.take_passed_on(fresh.changes_since(0).unwrap());
-    assert_eq!(peer.listed_up_to(), 5);
-    assert!(asks_again(&peer));
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    forward(&empty, &peer);
+    assert_eq!(peer.list_revision(), 5);
+    peer.apply_peer_changes(fresh.changes_since(0).unwrap());
+    assert_eq!(peer.list_revision(), 5);
+    assert!(is_rewatch_requested(&peer));
 }
 
-/// What a peer holds as a whole takes the place of an older list; a newer one stays.
+/// A peer's whole list replaces an older list; a newer one stays.
 #[test]
 fn whole_list() {
     let (_, fresh) = entry();
@@ -213,28 +220,28 @@
         draining: true,
         ..listed("i-3", 6)
     };
-    fresh.take_listing(vec![listed("i-2", 4), draining], 6);
+    fresh.apply_listing(vec![listed("i-2", 4), draining], 6);
     let (_, peer) = entry();
-    peer.take_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
+    peer.apply_listing(vec![listed("i-1", 3), listed("i-2", 4)], 5);
     let passed = changes::encode(&fresh.whole_list()).unwrap();
     let passed = || changes::decode(&passed).unwrap();
-    peer.take_whole_list(passed());
-    assert_eq!(peer.listed_up_to(), 6);
+    peer.apply_peer_list(passed());
+    assert_eq!(peer.list_revision(), 6);
     assert_eq!(peer.directory().listing(), fresh.directory().listing());
-    peer.take_changes(vec![Change::Put(listed("i-4", 7))], 7);
-    peer.take_whole_list(passed());
-    assert_eq!(peer.listed_up_to(), 7);
+    peer.apply_changes(vec![Change::Put(listed("i-4", 7))], 7);
+    peer.apply_peer_list(passed());
+    assert_eq!(peer.list_revision(), 7);
     assert!(peer.directory().key("i-4").is_some());
 }
 
-/// The whole configuration is read from the store by those that watch it, and by one that its peers
-/// don't bring up to date.
+/// The whole configuration is read from the store by the entries that watch, and by an entry that
+/// its peers don't bring up to date.
 #[test]
-fn peers_bring_catalog() {
+fn catalog_read_from_peers() {
     let (clock, entry) = entry();
     let catalog = |version| Box::new(catalog(version, Vec::new()));
-    entry.take_catalog(catalog(3), "store");
-    assert!(!entry.peers_bring_catalog(), "no peer watches");
+    entry.apply_catalog(catalog(3), "store");
+    assert!(!entry.can_get_catalog_from_peers(), "no peer watches");
     let hear_watchers = || {
         for i in [2, 3] {
             let peer = ([127, 0, 0, i], 1).into();
@@ -244,20 +251,23 @@
         }
     };
     hear_watchers();
-    assert!(entry.peers_bring_catalog());
-    entry.peer_has_version(4);
+    assert!(entry.can_get_catalog_from_peers());
+    entry.note_peer_catalog_version(4);
     clock.advance(Millis(700));
-    entry.take_catalog(catalog(4), "a peer");
-    entry.peer_has_version(5);
+    entry.apply_catalog(catalog(4), "a peer");
+    entry.note_peer_catalog_version(5);
     clock.advance(Millis(800));
     hear_watchers();
-    assert!(entry.peers_bring_catalog());
+    assert!(entry.can_get_catalog_from_peers());
     clock.advance(Millis(700));
     hear_watchers();
-    assert!(!entry.peers_bring_catalog(), "lacks version 5 for 1.5 s");
+    assert!(
+        !entry.can_get_catalog_from_peers(),
+        "lacks version 5 for 1.5 s"
+    );
 }
 
-/// What an entry with a wide link tells that watches the store.
+/// A message of an entry with a fast link that watches the store.
 fn watching_peer(id: u64) -> GossipMessage {
     GossipMessage {
         from: PeerId(id),
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -1,4 +1,5 @@
-//! Slots that are left free for more urgent requests, and how entries that don't see each other share the others.
+//! Slots that are left free for more urgent requests, and how entries that don't see each other
+//! share the others.
 
 mod common;
 
@@ -8,12 +9,12 @@
 use violetline::direct::choose::{choose, Choice};
 use violetline::direct::demand::{Candidate, Demand};
 use violetline::direct::directory::{Change, Directory, EndpointKey};
-use violetline::direct::health::Record;
-use violetline::direct::load::{Footprint, Load, Teller, Work};
+use violetline::direct::health::HealthRecord;
+use violetline::direct::load::{EndpointLoad, EndpointWork, Footprint, LoadSource};
 use violetline::direct::peers::PeerId;
 use violetline::direct::prefix::PrefixMap;
-use violetline::direct::room::RoomFor;
-use violetline::direct::turnover::{Recent, Turnover};
+use violetline::direct::room::RoomInputs;
+use violetline::direct::turnover::{PoolActivity, RecentActivity};
 
 const NOW: Millis = Millis(10_000);
 const ENGINE: EngineCapacity = EngineCapacity {
@@ -25,16 +26,16 @@
     band: 1,
     unread: 0,
     held: 1_000,
-    delicate: 0,
+    pause_sensitivity: 0,
 };
 const IDS: [&str; 4] = ["a", "b", "c", "d"];
-/// Slots of an endpoint as the tests list it.
+/// Slots of an endpoint as listed by the test helpers.
 const SLOTS: u32 = 64;
 
-/// Endpoints with as many running as told.
+/// Endpoints a to d with the given numbers of running requests.
 struct Pool {
     directory: Directory,
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     prefixes: PrefixMap,
 }
 
@@ -45,7 +46,7 @@
             directory.apply(Change::Put(listed(id, 1)), Millis(0));
         }
         let load = |running| {
-            let mut load = Load::default();
+            let mut load = EndpointLoad::default();
             for _ in 0..running {
                 load.begin(RUN, NOW);
             }
@@ -58,15 +59,16 @@
         }
     }
 
-    /// The same with as many of them by this entry as told, the others by another one.
-    fn told(running: [u32; 4], own: [u32; 4]) -> Self {
+    /// The same, where `own` of the running requests are this entry's and the others those of a
+    /// peer.
+    fn with_peer_load(running: [u32; 4], own: [u32; 4]) -> Self {
         let mut pool = Self::new(own);
         for (i, load) in pool.loads.iter_mut().enumerate() {
-            let work = Work {
+            let work = EndpointWork {
                 running: running[i] - own[i],
-                ..Work::default()
+                ..EndpointWork::default()
             };
-            load.told(Teller::Peer(PeerId(1)), work, Millis(1_000), NOW);
+            load.record_remote(LoadSource::Peer(PeerId(1)), work, Millis(1_000), NOW);
         }
         pool
     }
@@ -75,26 +77,26 @@
         self.directory.key(IDS[i]).unwrap()
     }
 
-    fn choose(&self, room: RoomFor, draw: u64) -> Choice {
-        let record = Record::default();
+    fn choose(&self, room: RoomInputs, draw: u64) -> Choice {
+        let record = HealthRecord::default();
         let candidates = (0..IDS.len()).map(|i| Candidate {
             key: self.key(i),
             endpoint: self.directory.get(self.key(i)).unwrap(),
             load: &self.loads[i],
             record: &record,
-            warming: false,
+            is_warming: false,
             is_limited: false,
         });
         let demand = Demand {
-            band: room.more_urgent,
+            band: room.more_urgent_bands,
             parts: &[],
             output_tokens: 100,
             target: Millis(600),
             zone: "hall-a",
             engine: Some(ENGINE),
-            delicate: 0,
+            pause_sensitivity: 0,
             pause: Millis(0),
-            blind: Millis(0),
+            visibility_delay: Millis(0),
             room,
             draw,
         };
@@ -102,33 +104,33 @@
     }
 }
 
-const URGENT: RoomFor = RoomFor {
-    more_urgent: 0,
+const URGENT: RoomInputs = RoomInputs {
+    more_urgent_bands: 0,
     entries: 1,
-    recent: Recent {
-        ahead: 0,
-        offered: 0,
-        begun: 0,
+    recent: RecentActivity {
+        more_urgent_arrivals: 0,
+        yielding_arrivals: 0,
+        started: 0,
         ended: 0,
-        turned_away_part: 0.0,
-        nothing_part: 0.0,
+        rejected_fraction: 0.0,
+        refused_fraction: 0.0,
     },
 };
-const LATER: RoomFor = RoomFor {
-    more_urgent: 1,
+const LESS_URGENT: RoomInputs = RoomInputs {
+    more_urgent_bands: 1,
     ..URGENT
 };
 
-/// An eighth of the slots is left to more urgent requests.
+/// An eighth of the slots is left free for more urgent requests.
 #[test]
-fn urgent_has_room() {
+fn slots_reserved_for_urgent() {
     let most = SLOTS - SLOTS / 8;
     for running in [0, most - 1] {
-        assert!(Pool::new([running; 4]).choose(LATER, 1).has_room);
+        assert!(Pool::new([running; 4]).choose(LESS_URGENT, 1).has_room);
     }
     for running in [most, SLOTS - 1] {
         let pool = Pool::new([running; 4]);
-        assert!(!pool.choose(LATER, 1).has_room);
+        assert!(!pool.choose(LESS_URGENT, 1).has_room);
         assert!(pool.choose(URGENT, 1).has_room);
     }
     assert!(!Pool::new([SLOTS; 4]).choose(URGENT, 1).has_room);
@@ -141,36 +143,37 @@
     assert_eq!(pool.choose(URGENT, 1).key, pool.key(1));
 }
 
-/// One that turned a request away is left alone for a time, though it has the least to do by the count, unless a run ends there.
+/// An endpoint that rejected a request is avoided for a short time although it has the fewest
+/// requests, unless a run ends there. If all have done so, the best one is still chosen.
 #[test]
 fn full_avoided() {
     let mut pool = Pool::new([0, 9, 9, 9]);
     let best = pool.key(0);
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].turned_away(NOW);
+    pool.loads[0].mark_full(NOW);
     assert_ne!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].made_room();
+    pool.loads[0].clear_full();
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    pool.loads[0].turned_away(NOW - Millis(5_000));
+    pool.loads[0].mark_full(NOW - Millis(5_000));
     assert_eq!(pool.choose(URGENT, 1).key, best);
     for load in &mut pool.loads {
-        load.turned_away(NOW);
+        load.mark_full(NOW);
     }
     assert_eq!(pool.choose(URGENT, 1).key, best);
-    assert!(!pool.choose(LATER, 1).has_room);
+    assert!(!pool.choose(LESS_URGENT, 1).has_room);
 }
 
-/// Entries that know the same and don't see what others do begin no more than twice the free slots and than ended, whoever has
-/// the callers and the requests that run.
+/// Entries with the same knowledge that don't see each other's choices together start at most twice
+/// the free slots plus the runs that ended, however callers and running requests are distributed.
 #[test]
-fn shared_out() {
+fn free_slots_shared() {
     let running = [40, 50, 30, 56];
     let left = |running: u32| SLOTS - SLOTS / 8 - running;
     let free: u32 = running.map(left).iter().sum();
     arbtest::arbtest(|u| {
         let entries = u.int_in_range(1..=40usize)?;
         let mut others = running;
-        let (mut begun, mut ended, mut offered) = (0.0, 0, 0);
+        let (mut started, mut ended, mut yielding_arrivals) = (0.0, 0, 0);
         for entry in 0..entries {
             let mut own = [0; 4];
             for (own, left) in own.iter_mut().zip(&mut others) {
@@ -182,57 +185,61 @@
                 };
                 *left -= *own;
             }
-            let room = RoomFor {
+            let room = RoomInputs {
                 entries,
-                recent: Recent {
-                    offered: u.int_in_range(0..=200)?,
+                recent: RecentActivity {
+                    yielding_arrivals: u.int_in_range(0..=200)?,
                     ended: u.int_in_range(0..=20)?,
-                    ..Recent::default()
+                    ..RecentActivity::default()
                 },
-                ..LATER
+                ..LESS_URGENT
             };
-            let sent_part = Pool::told(running, own).choose(room, 1).sent_part;
-            begun += sent_part.min(1.0) * room.recent.offered as f64;
+            let admitted_fraction = Pool::with_peer_load(running, own)
+                .choose(room, 1)
+                .admitted_fraction;
+            started += admitted_fraction.min(1.0) * room.recent.yielding_arrivals as f64;
             ended += room.recent.ended;
-            offered += room.recent.offered;
+            yielding_arrivals += room.recent.yielding_arrivals;
         }
         assert!(
-            begun <= f64::from(free) * 2.0 + ended as f64 + 1e-6,
-            "{begun}"
+            started <= f64::from(free) * 2.0 + ended as f64 + 1e-6,
+            "{started}"
         );
-        assert!(begun <= offered as f64 + 1e-6);
+        assert!(started <= yielding_arrivals as f64 + 1e-6);
         Ok(())
     });
 }
 
-/// Endpoints that turn many away have less room than they list.
+/// Endpoints that reject many requests have less capacity than they list, so more slots are left
+/// free.
 #[test]
-fn turned_away_leaves_more() {
+fn rejections_reserve_more() {
     let pool = Pool::new([SLOTS / 2; 4]);
-    assert!(pool.choose(LATER, 1).has_room);
-    let after = |turned_away_part| RoomFor {
-        recent: Recent {
-            turned_away_part,
-            ..Recent::default()
+    assert!(pool.choose(LESS_URGENT, 1).has_room);
+    let after = |rejected_fraction| RoomInputs {
+        recent: RecentActivity {
+            rejected_fraction,
+            ..RecentActivity::default()
         },
-        ..LATER
+        ..LESS_URGENT
     };
     assert!(pool.choose(after(0.1), 1).has_room);
     assert!(!pool.choose(after(0.3), 1).has_room);
     assert!(Pool::new([SLOTS / 2 - 1; 4]).choose(after(1.0), 1).has_room);
 }
 
-/// Where many come at once, entries go to endpoints as these have slots, and not all to the one that looks best.
+/// If many requests arrive at once, endpoints are chosen in proportion to their free slots, and not
+/// always the one that looks best.
 #[test]
-fn spread_where_crowded() {
+fn contended_choices_spread() {
     let pool = Pool::new([50, 54, 52, 10]);
-    let crowded = RoomFor {
+    let crowded = RoomInputs {
         entries: 30,
-        recent: Recent {
-            offered: 100,
-            ..Recent::default()
+        recent: RecentActivity {
+            yielding_arrivals: 100,
+            ..RecentActivity::default()
         },
-        ..LATER
+        ..LESS_URGENT
     };
     let mut chosen = [0; 4];
     for draw in 0..4_000 {
@@ -248,91 +255,98 @@
 }
 
 #[test]
-fn recent_forgotten() {
-    let mut turnover = Turnover::default();
-    turnover.see(0, Millis(0));
+fn old_activity_dropped() {
+    let mut turnover = PoolActivity::default();
+    turnover.record_active_band(0, Millis(0));
     for ms in 0..1_000 {
-        turnover.come(1, Millis(ms));
-        turnover.begin(Millis(ms));
+        turnover.record_arrival(1, Millis(ms));
+        turnover.record_start(Millis(ms));
     }
-    turnover.end(Millis(990));
-    let recent = turnover.within(1, Millis(100), Millis(1_000));
-    assert_eq!((recent.offered, recent.begun, recent.ended), (100, 100, 1));
+    turnover.record_end(Millis(990));
+    let recent = turnover.recent(1, Millis(100), Millis(1_000));
     assert_eq!(
-        turnover.within(1, Millis(100), Millis(9_000)),
-        Recent::default()
+        (recent.yielding_arrivals, recent.started, recent.ended),
+        (100, 100, 1)
+    );
+    assert_eq!(
+        turnover.recent(1, Millis(100), Millis(9_000)),
+        RecentActivity::default()
     );
 }
 
-/// Room is left for kinds that come, not for those that the configuration names alone.
+/// Slots are left free for bands whose requests arrive, not for those that merely exist in the
+/// configuration.
 #[test]
-fn urgent_seen() {
-    let mut turnover = Turnover::default();
-    turnover.come(1, NOW);
-    assert_eq!(turnover.more_urgent(2, NOW + Millis(60_000)), 0);
-    assert_eq!(turnover.more_urgent(2, NOW), 1);
-    assert_eq!(turnover.more_urgent(1, NOW), 0);
-    turnover.see(0, NOW);
-    assert_eq!(turnover.more_urgent(2, NOW), 2);
+fn only_active_bands_count() {
+    let mut turnover = PoolActivity::default();
+    turnover.record_arrival(1, NOW);
+    assert_eq!(turnover.more_urgent_bands(2, NOW + Millis(60_000)), 0);
+    assert_eq!(turnover.more_urgent_bands(2, NOW), 1);
+    assert_eq!(turnover.more_urgent_bands(1, NOW), 0);
+    turnover.record_active_band(0, NOW);
+    assert_eq!(turnover.more_urgent_bands(2, NOW), 2);
 }
 
-/// Of three bands the middle one has the room that the most urgent leaves, and the least urgent what is left then.
+/// Of three bands, the middle one may use the slots that the most urgent one leaves, and the least
+/// urgent one what then remains.
 #[test]
 fn middle_before_least() {
-    let mut turnover = Turnover::default();
-    turnover.see(0, NOW);
+    let mut turnover = PoolActivity::default();
+    turnover.record_active_band(0, NOW);
     for _ in 0..40 {
-        turnover.come(1, NOW);
-        turnover.come(2, NOW);
+        turnover.record_arrival(1, NOW);
+        turnover.record_arrival(2, NOW);
     }
     let pool = Pool::new([SLOTS - SLOTS / 8 - 5; 4]);
-    let sent_part = |band: usize| {
-        let room = RoomFor {
-            more_urgent: turnover.more_urgent(band, NOW),
+    let admitted_fraction = |band: usize| {
+        let room = RoomInputs {
+            more_urgent_bands: turnover.more_urgent_bands(band, NOW),
             entries: 1,
-            recent: turnover.within(band, Millis(100), NOW),
+            recent: turnover.recent(band, Millis(100), NOW),
         };
-        pool.choose(room, 1).sent_part
+        pool.choose(room, 1).admitted_fraction
     };
-    assert!(sent_part(1) >= 1.0, "{}", sent_part(1));
-    assert!(sent_part(2) <= 0.0, "{}", sent_part(2));
+    assert!(admitted_fraction(1) >= 1.0, "{}", admitted_fraction(1));
+    assert!(admitted_fraction(2) <= 0.0, "{}", admitted_fraction(2));
 }
 
-/// Less urgent requests are held back as more of a more urgent kind get nothing, and all of them at a twelfth.
+/// Less urgent requests are held back as more urgent ones are refused, and all of them once a
+/// twelfth is refused.
 #[test]
-fn held_back() {
+fn held_back_while_urgent_refused() {
     let pool = Pool::new([0; 4]);
-    let sent_part = |nothing: usize| {
-        let mut turnover = Turnover::default();
+    let admitted_fraction = |nothing: usize| {
+        let mut turnover = PoolActivity::default();
         for i in 0..240 {
-            turnover.come(0, NOW);
-            turnover.come(1, NOW);
+            turnover.record_arrival(0, NOW);
+            turnover.record_arrival(1, NOW);
             if i < nothing {
-                turnover.get_nothing(0, NOW);
+                turnover.record_refusal(0, NOW);
             }
         }
-        let room = RoomFor {
-            more_urgent: 1,
+        let room = RoomInputs {
+            more_urgent_bands: 1,
             entries: 1,
-            recent: turnover.within(1, Millis(100), NOW),
+            recent: turnover.recent(1, Millis(100), NOW),
         };
-        pool.choose(room, 1).sent_part
+        pool.choose(room, 1).admitted_fraction
     };
-    assert_eq!(sent_part(0), sent_part(10));
-    assert!(sent_part(15) < sent_part(10) && sent_part(15) > 0.0);
-    assert_eq!(sent_part(20), 0.0);
+    assert_eq!(admitted_fraction(0), admitted_fraction(10));
+    assert!(admitted_fraction(15) < admitted_fraction(10) && admitted_fraction(15) > 0.0);
+    assert_eq!(admitted_fraction(20), 0.0);
 }
 
-/// A middle band leaves room only where hardly any less urgent requests come, which would leave it.
+/// A middle band leaves slots free only if hardly any less urgent requests arrive, which would
+/// otherwise do so.
 #[test]
-fn least_urgent_leave_first() {
-    let mut turnover = Turnover::default();
+fn least_urgent_yield_first() {
+    let mut turnover = PoolActivity::default();
     for i in 0..40 {
-        turnover.come(1, NOW);
+        turnover.record_arrival(1, NOW);
         assert!(!turnover.has_less_urgent(1, NOW), "{i}");
     }
     for _ in 0..20 {
-        turnover.come(2, NOW);
+        turnover.record_arrival(2, NOW);
     }
     assert!(turnover.has_less_urgent(1, NOW));
     assert!(!turnover.has_less_urgent(2, NOW));
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -1,4 +1,4 @@
-//! Cordoned availability zones: nothing new is sent there, whatever way the word of it comes.
+//! Cordoned availability zones: nothing new is sent there, however the information arrives.
 
 mod common;
 
@@ -27,36 +27,36 @@
     directory
 }
 
-fn takes_work(directory: &Directory, id: &str) -> bool {
-    directory.takes_work(directory.key(id).unwrap(), Millis(100))
+fn accepts_requests(directory: &Directory, id: &str) -> bool {
+    directory.accepts_requests(directory.key(id).unwrap(), Millis(100))
 }
 
 #[test]
-fn zone_left_out() {
+fn cordoned_zone_excluded() {
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     assert!(
-        !takes_work(&directory, "a"),
+        !accepts_requests(&directory, "a"),
         "checked when a request is sent"
     );
-    assert!(takes_work(&directory, "b"));
+    assert!(accepts_requests(&directory, "b"));
     assert_eq!(directory.available_in_pool("pool", Millis(100)).count(), 1);
     directory.apply(Change::Uncordoned(cordon(4)), Millis(20));
-    assert!(takes_work(&directory, "a"));
+    assert!(accepts_requests(&directory, "a"));
 }
 
-/// An endpoint that joins a cordoned zone gets nothing either.
+/// An endpoint that joins a cordoned zone gets no requests either.
 #[test]
-fn joins_cordoned_zone() {
+fn endpoint_joins_cordoned_zone() {
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     directory.apply(Change::Put(listed("c", 4)), Millis(20));
-    assert!(!takes_work(&directory, "c"));
+    assert!(!accepts_requests(&directory, "c"));
 }
 
-/// What operators took back may be cold, whatever its entry said before.
+/// After a cordon ends, endpoints may be cold, whatever their records said before.
 #[test]
-fn warms_up_after() {
+fn warms_up_after_cordon() {
     let mut directory = directory();
     let key = directory.key("a").unwrap();
     directory.apply(Change::Cordoned(cordon(3)), Millis(1_000));
@@ -72,58 +72,58 @@
 }
 
 #[test]
-fn older_word_ignored() {
+fn older_information_ignored() {
     let mut cordons = Cordons::default();
     cordons.cordon(cordon(7));
     assert!(!cordons.uncordon(&cordon(6)));
-    assert!(cordons.holds(ZONE));
+    assert!(cordons.has(ZONE));
     assert!(cordons.uncordon(&cordon(8)));
     cordons.cordon(cordon(7));
-    assert!(!cordons.holds(ZONE), "a peer's old word");
+    assert!(!cordons.has(ZONE), "a peer's old word");
 }
 
-/// Listings and their changes bring both ends to the same state.
+/// Listings and their changes bring sender and receiver to the same state.
 #[test]
-fn passed_on_by_listing() {
+fn forwarded_by_listing() {
     let (_, first) = entry();
     let (_, second) = entry();
     let with_cordon = Listing {
         endpoints: vec![listed("a", 1)],
         cordons: vec![cordon(5)],
     };
-    first.take_listing(vec![listed("a", 1)], 2);
-    second.take_listing(vec![listed("a", 1)], 2);
-    first.take_listing(with_cordon, 6);
+    first.apply_listing(vec![listed("a", 1)], 2);
+    second.apply_listing(vec![listed("a", 1)], 2);
+    first.apply_listing(with_cordon, 6);
     let passed = first.changes_since(2).unwrap();
-    second.take_changes(passed.changes, passed.up_to);
+    second.apply_changes(passed.changes, passed.up_to);
     assert!(second.directory().is_cordoned(ZONE));
-    first.take_listing(vec![listed("a", 1)], 9);
+    first.apply_listing(vec![listed("a", 1)], 9);
     let passed = first.changes_since(6).unwrap();
-    second.take_changes(passed.changes, passed.up_to);
+    second.apply_changes(passed.changes, passed.up_to);
     assert!(!second.directory().is_cordoned(ZONE));
 }
 
-/// A question for a proof may bring the end of a cordon before the listing does; peers that hear of the
-/// listing alone learn of that end as well.
+/// A request for a proof may reveal the end of a cordon before the listing does; peers that only
+/// receive the listing still learn of that end.
 #[test]
-fn end_known_early() {
+fn early_end_forwarded() {
     let (_, first) = entry();
     let with_cordon = Listing {
         endpoints: Vec::new(),
         cordons: vec![cordon(5)],
     };
-    first.take_listing(with_cordon, 6);
-    first.take_cordons(Vec::new(), 8);
+    first.apply_listing(with_cordon, 6);
+    first.apply_cordons(Vec::new(), 8);
     assert!(!first.directory().is_cordoned(ZONE));
-    first.take_listing(Vec::new(), 9);
+    first.apply_listing(Vec::new(), 9);
     let passed = first.changes_since(6).unwrap();
     let ends = |change: &Change| matches!(change, Change::Uncordoned(end) if end.zone == ZONE);
     assert!(passed.changes.iter().any(ends));
 }
 
-/// Names that other writers make up neither push a zone out nor grow without bound.
+/// Invalid zone names from other writers neither displace a real zone nor use unbounded memory.
 #[test]
-fn made_up_zones() {
+fn invalid_zones_bounded() {
     let mut cordons = Cordons::default();
     cordons.cordon(cordon(1));
     for n in 0..5_000 {
@@ -132,7 +132,7 @@
             revision: n + 2,
         });
     }
-    assert!(cordons.holds(ZONE));
+    assert!(cordons.has(ZONE));
     assert!(cordons.uncordon(&cordon(9_000)));
-    assert!(!cordons.holds("made-up-4999"));
+    assert!(!cordons.has("made-up-4999"));
 }
