--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -87,7 +87,7 @@
 
 /// The accepted wait falls with the backlog without a step.
 #[test]
-fn accepted_wait_falls_smoothly() {
+fn accepted_wait_falls() {
     let admitted = |backlog: f64| {
         let waits = (0..4_000).step_by(10);
         waits
@@ -114,7 +114,7 @@
 
 /// A request with hardly any time left is refused at once.
 #[test]
-fn no_time_left_refused() {
+fn short_time_refused() {
     let hopeless = EngineAdmission {
         time_left: Millis(100),
         ..outlook(0.0, 400.0)
--- a/tests/announced_lives.rs
+++ b/tests/announced_lives.rs
@@ -70,7 +70,7 @@
 /// An endpoint that announced that it leaves gets no grace period when its entry expires while the
 /// list is unavailable.
 #[test]
-fn no_grace_for_leaving() {
+fn leaving_without_grace() {
     let mut directory = announced(None, LEAVES);
     directory.list_unavailable();
     assert!(directory.apply(removed(2), Millis(10)).is_some());
@@ -108,7 +108,7 @@
 
 /// The number of remembered incarnations is bounded: the oldest is dropped.
 #[test]
-fn former_incarnations_are_bounded() {
+fn former_incarnations_bounded() {
     let mut former = FormerIncarnations::default();
     let leaves = AnnouncedState {
         leaves: true,
--- a/tests/direct_budget.rs
+++ b/tests/direct_budget.rs
@@ -32,7 +32,7 @@
 
 /// Retries of less urgent requests leave some of the budget for urgent ones.
 #[test]
-fn budget_left_for_urgent() {
+fn urgent_budget_reserved() {
     let mut window = RetryWindow::default();
     let less_urgent = (0..1_000)
         .take_while(|_| window.try_take(Millis(0), ALLOWANCE, 1, true))
--- a/tests/direct_channel.rs
+++ b/tests/direct_channel.rs
@@ -142,7 +142,7 @@
 }
 
 #[actix_rt::test]
-async fn stray_bytes_after_response() {
+async fn bytes_after_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (written_tx, written_rx) = tokio::sync::oneshot::channel();
--- a/tests/direct_choice.rs
+++ b/tests/direct_choice.rs
@@ -127,7 +127,7 @@
 
 /// A prompt stays at the endpoint that has its prefix cached, despite a short queue there.
 #[test]
-fn short_queue_keeps_cache() {
+fn cached_despite_queue() {
     let mut pool = Pool::new();
     let parts = prompt();
     let first = pool.choose(demand(&parts)).key;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn long_prompt_avoids_streams() {
+fn prompt_avoids_streams() {
     let mut pool = Pool::new();
     let parts = [part(1, 9_000)];
     for _ in 0..5 {
@@ -152,7 +152,7 @@
 /// Latency-sensitive streams and long prompts that arrive in turns are never placed on the same
 /// endpoint while there is enough capacity to separate them.
 #[test]
-fn streams_and_long_prompts_separate() {
+fn streams_kept_separate() {
     let mut pool = Pool::new();
     let long = [part(1, 9_000)];
     let short = [part(2, 500)];
--- a/tests/direct_directory.rs
+++ b/tests/direct_directory.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn draining_removed_during_outage() {
+fn removed_during_outage() {
     let mut directory = directory_with_one_endpoint();
     let draining = ListedEndpoint {
         draining: true,
--- a/tests/direct_health.rs
+++ b/tests/direct_health.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn unreachable_ejected_at_once() {
+fn unreachable_ejected() {
     let mut record = HealthRecord::default();
     assert!(record.failed(Millis(0), Fault::Unreachable));
     assert!(record.is_ejected());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn trials_are_spaced_out() {
+fn trials_spaced_out() {
     let mut record = HealthRecord::default();
     record.failed(Millis(0), Fault::Unreachable);
     record.failed(Millis(700), Fault::Answer);
--- a/tests/direct_home.rs
+++ b/tests/direct_home.rs
@@ -108,7 +108,7 @@
 /// Entries without knowledge of each other send a session's prompts to the same endpoint, and
 /// distribute sessions over all endpoints.
 #[test]
-fn entries_agree_on_home() {
+fn entries_agree() {
     let mut homes = HashMap::new();
     for session in 0..600 {
         let parts = prompt(session, session);
@@ -192,7 +192,7 @@
 /// endpoints but three are prefilling, and other entries' choices are visible only late. The three
 /// must not be filled, since half of all slots suffices for the streams.
 #[test]
-fn burst_with_delayed_visibility() {
+fn burst_seen_late() {
     let (endpoints, streams) = (30, 900);
     let visibility_delay = Millis(450);
     let mut entries: Vec<Entry> = (0..20).map(|_| Entry::new(endpoints)).collect();
--- a/tests/direct_moves.rs
+++ b/tests/direct_moves.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn transferred_from_busy_holder() {
+fn busy_holder_transfers() {
     let pool = Pool::new();
     let choice = pool.choose(&prompt(2_900));
     assert_ne!(choice.key, pool.key("a"), "the keeper is busy");
@@ -130,14 +130,14 @@
 }
 
 #[test]
-fn failing_holder_is_no_source() {
+fn failing_holder_avoided() {
     let mut pool = Pool::new();
     pool.records[0].failed(NOW, Fault::Unreachable);
     assert_eq!(pool.choose(&prompt(2_900)).reuse.from, None);
 }
 
 #[test]
-fn unfinished_prefill_is_no_source() {
+fn unfinished_prefill_avoided() {
     let mut pool = Pool::new();
     let holder = pool.key("a");
     pool.prefixes.forget(holder);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn short_prefix_not_transferred() {
+fn short_prefix_recomputed() {
     let mut pool = Pool::new();
     let holder = pool.key("a");
     let short = [part(5, 100), part(6, 50)];
@@ -167,7 +167,7 @@
 /// If entries draw endpoints at random, a cached prefix is transferred to the endpoint that is
 /// drawn, as to one that is chosen by its price.
 #[test]
-fn transferred_to_drawn_endpoint() {
+fn drawn_endpoint_receives() {
     let mut pool = Pool::new();
     pool.room = RoomInputs {
         entries: 9,
--- a/tests/direct_resolve.rs
+++ b/tests/direct_resolve.rs
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn public_allowed_when_stale() {
+fn stale_public_allowed() {
     assert!(resolve_at(Some(0), 60_000, &ask("/p/x", None)).is_ok());
 }
 
 #[test]
-fn denial_needs_recent_proof() {
+fn denial_needs_proof() {
     let unknown = ask("/k/x", Some("nobody"));
     let nowhere = ask("/none/", Some("key-1"));
     assert_eq!(resolve_at(Some(0), 10, &unknown), Err(Denied::NoKey));
--- a/tests/direct_versions.rs
+++ b/tests/direct_versions.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn gap_sends_full_version() {
+fn gap_sends_all() {
     let (_, first) = entry();
     first.apply_catalog(boxed(&numbered_catalog(4, 10, 1)), "store");
     first.apply_catalog(boxed(&numbered_catalog(6, 20, 1)), "store");
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn ambiguous_names_have_no_patch() {
+fn ambiguous_names_unpatched() {
     let old = numbered_catalog(1, 3, 1);
     let same_name = vec![route("a", "/a/"), route("a", "/b/")];
     let same_prefix = vec![route("a", "/a/"), route("b", "/a/")];
--- a/tests/direct_watch.rs
+++ b/tests/direct_watch.rs
@@ -197,7 +197,7 @@
 /// The same through an entry that has the changes from the fresh one, and for a list that has
 /// advanced into the span of the listing meanwhile.
 #[test]
-fn left_before_forwarded_listing() {
+fn left_before_forwarding() {
     let (_, fresh) = entry();
     fresh.apply_listing(vec![listed("i-2", 4)], 6);
     let (_, empty) = entry();
@@ -237,7 +237,7 @@
 /// The whole configuration is read from the store by the entries that watch, and by an entry that
 /// its peers don't bring up to date.
 #[test]
-fn catalog_read_from_peers() {
+fn catalog_from_peers() {
     let (clock, entry) = entry();
     let catalog = |version| Box::new(catalog(version, Vec::new()));
     entry.apply_catalog(catalog(3), "store");
--- a/tests/ended_endpoints.rs
+++ b/tests/ended_endpoints.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn refused_connection_ends_runs() {
+fn refusal_ends_runs() {
     let mut runs = LostRuns::default();
     assert_eq!(runs.record_loss(lost(1, 100, LostHow::Broken)), None);
     assert_eq!(runs.record_loss(lost(2, 100, LostHow::Silent)), None);
--- a/tests/endpoint_rest.rs
+++ b/tests/endpoint_rest.rs
@@ -6,7 +6,7 @@
 const SLOTS: u32 = 8;
 
 #[test]
-fn no_work_during_rest() {
+fn nothing_during_rest() {
     let mut breaker = Breaker::default();
     breaker.asked_for_rest(Millis(3_000));
     assert_eq!(breaker.allowance(Millis(500), SLOTS), (0, Millis(2_500)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_request_after_rest() {
+fn single_request_afterwards() {
     let mut breaker = Breaker::default();
     breaker.asked_for_rest(Millis(3_000));
     assert_eq!(breaker.allowance(Millis(3_000), SLOTS), (1, Millis(0)));
@@ -27,7 +27,7 @@
 
 /// A rest is no failure, however often it is asked for; a new incarnation has asked for none.
 #[test]
-fn rest_is_no_failure() {
+fn rest_without_failure() {
     let mut breaker = Breaker::default();
     for at in 0..10 {
         breaker.asked_for_rest(Millis(at * 100));
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -110,7 +110,7 @@
 
 /// If a malformed item replaces a good one, its endpoint is removed.
 #[test]
-fn malformed_item_removes_endpoint() {
+fn malformed_endpoint_removed() {
     let event = item("servers/a", "{}", 8);
     let body = json!({"events": [event], "current_rev": 8}).to_string();
     let watched = Platform.parse_watch(StatusCode::OK, body.as_bytes());
--- a/tests/innocent_suspects.rs
+++ b/tests/innocent_suspects.rs
@@ -50,7 +50,7 @@
 /// Three of a pool's four endpoints ended under both requests. Among the nine endpoints of all
 /// pools that would hardly be chance; among the pool's four it is.
 #[test]
-fn ends_by_chance_in_small_pool() {
+fn small_pool_chance() {
     let (clock, entry) = with_pools(4, 5);
     for endpoint in 0..3 {
         clock.advance(Millis(100));
@@ -64,7 +64,7 @@
 /// Two requests share two ends: one does not run while the other does, and the next end tells them
 /// apart.
 #[test]
-fn requests_with_shared_ends_take_turns() {
+fn shared_ends_alternate() {
     let (clock, entry) = with_pools(9, 3);
     let shared = |endpoint| {
         clock.advance(Millis(100));
@@ -111,7 +111,7 @@
 
 /// In a pool of nine the third end is enough.
 #[test]
-fn third_end_in_larger_pool() {
+fn third_end_suffices() {
     let (clock, entry) = with_pools(9, 3);
     for endpoint in 0..3 {
         clock.advance(Millis(100));
--- a/tests/limit_permits.rs
+++ b/tests/limit_permits.rs
@@ -38,7 +38,7 @@
 /// Two coordinators that do not know of each other together stay within 1.5 times the limit plus
 /// the permits that had accumulated.
 #[test]
-fn two_coordinators_stay_within_limit() {
+fn two_coordinators_bounded() {
     for limit in [0.0, 0.2, 0.5, 1.0, 3.3, 10.0, 50.0, 500.0] {
         let allowed = (1.5 * limit * 4.0 + 5.0) as usize;
         let max_permits = max_permits(limit, 1.0);
@@ -100,7 +100,7 @@
 /// A process that was stalled issues nothing until entries had time to settle; permits that it had
 /// before are gone.
 #[test]
-fn stalled_process_issues_nothing() {
+fn stalled_issues_nothing() {
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
     limits.record_answer(
@@ -135,7 +135,7 @@
 
 /// A peer that asks learns who the coordinator is, and that a limit has ended.
 #[test]
-fn redirects_and_reports_ended_limit() {
+fn asking_peer_informed() {
     let mut limits = Limits::default();
     limits.round(|_| true, Millis(1_000));
     let mut asker = Limits::default();
@@ -160,7 +160,7 @@
 
 /// A peer that does not respond is not asked for a time, and nothing is sent meanwhile.
 #[test]
-fn unresponsive_peer_is_not_asked() {
+fn unresponsive_peer_skipped() {
     let mut limits = Limits::default();
     limits.record_answer(
         TARGET,
--- a/tests/limited_fleet.rs
+++ b/tests/limited_fleet.rs
@@ -70,7 +70,7 @@
 
 /// Without permits the bound is exceeded at every fleet size, so it is the permits that keep it.
 #[test]
-fn limits_exceeded_without_permits() {
+fn exceeded_without_permits() {
     for entries in [3, 30, 100] {
         let fleet = run_scenario(Scenario {
             uses_permits: false,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn limits_kept_through_disruptions() {
+fn kept_through_disruptions() {
     for (entries, limit) in [(3, 1_000), (3, 10_000), (30, 10_000)] {
         for disruption in Disruption::ALL {
             assert_kept(entries, disruption, limit);
--- a/tests/quarantine_fleet.rs
+++ b/tests/quarantine_fleet.rs
@@ -26,7 +26,7 @@
     [(3, 9, 50), (30, 56, 300), (100, 180, 800), (450, 900, 900)];
 
 #[test]
-fn crashing_request_is_stopped() {
+fn crashing_request_stopped() {
     let mut seen = BTreeMap::new();
     for (entries, engines, rate) in SIZES {
         for again in [60, 300, 1_500] {
@@ -83,7 +83,7 @@
 /// Both at once, so that innocent requests are lost with engines that the crashing request ends and
 /// with others.
 #[test]
-fn innocent_beside_crashing_request() {
+fn innocent_beside_crashing() {
     let mut lost = 0;
     for seed in 0..6 {
         for (entries, engines, rate) in [(3, 9, 50), (30, 56, 300)] {
@@ -109,7 +109,7 @@
 
 /// An entry that is partitioned from all others, and one that has just started.
 #[test]
-fn partitioned_and_fresh_entries() {
+fn partitioned_entries() {
     let mut fleet = Fleet::new(BASE_SCENARIO);
     fleet.members[0].is_cut_off = true;
     fleet.play();
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn refused_at_third_end() {
+fn third_end_refuses() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     assert_eq!(
         with_ends(&ends[..2]).request_status(REQUEST, Millis(600)),
@@ -48,7 +48,7 @@
 /// Ends of one moment count once: a rack with three endpoints that run copies of one request fails,
 /// or five copies are running when the first endpoint ends.
 #[test]
-fn simultaneous_ends_count_once() {
+fn simultaneous_ends() {
     let at_once = [end(1, 0, 900), end(2, 100, 900), end(3, 300, 910)];
     let quarantine = with_ends(&at_once);
     assert_eq!(
@@ -64,7 +64,7 @@
 /// Where endpoints end under many requests, a request can lose three runs by chance; the fifth end
 /// is enough even then.
 #[test]
-fn fifth_end_among_many() {
+fn fifth_end_refuses() {
     let long = [1, 2, 3, 4, 5].map(|i| end(i, u64::from(i) * 1_000 - 900, u64::from(i) * 1_000));
     let mut quarantine = Quarantine::default();
     quarantine.set_endpoint_count(9);
@@ -91,7 +91,7 @@
 
 /// A request that was lost with ends of an already refused request is not suspected for these.
 #[test]
-fn ends_explained_by_refused_request() {
+fn explained_by_refused() {
     let mut quarantine = with_ends(&[end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)]);
     assert!(is_refused(&mut quarantine, 600));
     quarantine.set_endpoint_count(56);
@@ -114,7 +114,7 @@
 /// A request is lost with an endpoint that ended for its own reasons, then with two that another
 /// request ended. The other one goes on to end endpoints alone, which explains those two.
 #[test]
-fn ends_explained_by_later_ones() {
+fn explained_by_later() {
     let other = Fingerprint(9);
     let mut quarantine = with_ends(&[end(2, 200, 300), end(3, 400, 500), end(4, 700, 800)]);
     for end in [end(1, 0, 100), end(2, 150, 301), end(3, 350, 501)] {
@@ -128,7 +128,7 @@
 /// A process that has just started does not know what else ended meanwhile. It refuses what its
 /// peers refuse, and nothing on the basis of reported ends alone.
 #[test]
-fn fresh_process_relies_on_peers() {
+fn fresh_follows_peers() {
     let now = Millis(10);
     let ended = |endpoint, age| Notice::Ended {
         request: REQUEST,
@@ -161,7 +161,7 @@
 /// Ends of the same moment are reported some gossip rounds later. Until then the request waits: it
 /// is neither refused nor sent.
 #[test]
-fn evaluation_waits_for_reports() {
+fn reports_awaited() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let mut alone = with_ends(&ends);
     assert!(alone.evaluate_suspects(Millis(900)).is_empty());
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn notice_order_is_irrelevant() {
+fn any_notice_order() {
     let all = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let now = Millis(1_000);
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [2, 0, 1]] {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn one_copy_at_a_time() {
+fn single_running_copy() {
     let mut quarantine = with_ends(&[end(1, 0, 100)]);
     let now = Millis(200);
     assert_eq!(quarantine.record_start(REQUEST, now, now), Change::Began);
@@ -259,7 +259,7 @@
 /// Hours later, on other engines, the request may run once; it is refused for longer if that ends
 /// one more endpoint.
 #[test]
-fn one_try_after_refusal() {
+fn retry_after_refusal() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let mut quarantine = with_ends(&ends);
     assert!(is_refused(&mut quarantine, 600_000));
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn refusals_reach_new_peer() {
+fn new_peer_refuses() {
     let ends = [end(1, 0, 100), end(2, 200, 300), end(3, 400, 500)];
     let late = Millis(100_000);
     let mut known = with_ends(&ends);
--- a/tests/reborn_endpoint.rs
+++ b/tests/reborn_endpoint.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn new_incarnation_replaces_old() {
+fn old_incarnation_replaced() {
     let mut directory = Directory::default();
     directory.apply(Change::Put(incarnation("a", 100, 1)), Millis(0));
     let before = key(&directory);
@@ -59,7 +59,7 @@
 
 /// An old entry that arrives late does not bring the earlier incarnation back.
 #[test]
-fn late_entry_is_ignored() {
+fn late_entry_ignored() {
     let mut directory = Directory::default();
     directory.apply(Change::Put(incarnation("a", 200, 5)), Millis(0));
     let now = key(&directory);
@@ -87,7 +87,7 @@
 
 /// Load, record and kept prompt parts are forgotten with the incarnation that they belong to.
 #[test]
-fn new_incarnation_starts_empty() {
+fn new_incarnation_empty() {
     let (clock, entry) = entry();
     entry.apply_listing(vec![incarnation("a", 100, 1)], 1);
     let before = key(&entry.directory());
--- a/tests/room_left.rs
+++ b/tests/room_left.rs
@@ -123,7 +123,7 @@
 
 /// An eighth of the slots is left free for more urgent requests.
 #[test]
-fn slots_reserved_for_urgent() {
+fn urgent_slots_reserved() {
     let most = SLOTS - SLOTS / 8;
     for running in [0, most - 1] {
         assert!(Pool::new([running; 4]).choose(LESS_URGENT, 1).has_room);
@@ -277,7 +277,7 @@
 /// Slots are left free for bands whose requests arrive, not for those that merely exist in the
 /// configuration.
 #[test]
-fn only_active_bands_count() {
+fn active_bands_count() {
     let mut turnover = PoolActivity::default();
     turnover.record_arrival(1, NOW);
     assert_eq!(turnover.more_urgent_bands(2, NOW + Millis(60_000)), 0);
@@ -313,7 +313,7 @@
 /// Less urgent requests are held back as more urgent ones are refused, and all of them once a
 /// twelfth is refused.
 #[test]
-fn held_back_while_urgent_refused() {
+fn less_urgent_delayed() {
     let pool = Pool::new([0; 4]);
     let admitted_fraction = |nothing: usize| {
         let mut turnover = PoolActivity::default();
@@ -339,7 +339,7 @@
 /// A middle band leaves slots free only if hardly any less urgent requests arrive, which would
 /// otherwise do so.
 #[test]
-fn least_urgent_yield_first() {
+fn least_urgent_yields() {
     let mut turnover = PoolActivity::default();
     for i in 0..40 {
         turnover.record_arrival(1, NOW);
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn failed_endpoint_backs_off() {
+fn failed_endpoint_avoided() {
     let list = instances(3, 1);
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, locality(), 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn prefix_stays_at_one_endpoint() {
+fn prefix_keeps_endpoint() {
     let list = instances(9, 1);
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, locality(), 1);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn subset_is_bounded_and_even() {
+fn bounded_even_subset() {
     let list = instances(400, 4);
     let all: Vec<&Instance> = list.iter().collect();
     let mut uses: HashMap<String, usize> = HashMap::new();
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn retries_cover_whole_pool() {
+fn retries_cover_pool() {
     let list = instances(200, 1);
     let all: Vec<&Instance> = list.iter().collect();
     let mut router = Router::new(Routing::TwoChoices, locality(), 1);
--- a/tests/schedule_invariants.rs
+++ b/tests/schedule_invariants.rs
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn changed_classes_keep_running_requests() {
+fn changed_classes_continue() {
     let mut scheduler = Scheduler::new(Order::Floors, params());
     let ask = |class| SlotRequest {
         request: RequestId(1),
--- a/tests/suspended_clock.rs
+++ b/tests/suspended_clock.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn suspension_is_noticed_once() {
+fn suspension_noticed_once() {
     let machine = ManualMachine::default();
     machine.suspend_for(9_000);
     let clock = Clock::on(Box::new(machine.clone()));
@@ -61,7 +61,7 @@
 
 /// A timer that stood still during a suspension ends as soon as the suspension is noticed.
 #[actix_rt::test]
-async fn timer_ends_after_suspension() {
+async fn timer_after_suspension() {
     let machine = ManualMachine::default();
     let clock = Clock::on(Box::new(machine.clone()));
     let hour = Millis::from_secs(3_600);
@@ -78,7 +78,7 @@
 
 /// A result that is ready is returned even if the deadline has passed.
 #[actix_rt::test]
-async fn ready_result_beats_deadline() {
+async fn ready_result_returned() {
     let clock = Clock::manual(Millis(0));
     clock.advance(Millis(10_000));
     let ended = clock.timeout_at(Millis(5_000), std::future::ready(7)).await;
--- a/tests/warm_up.rs
+++ b/tests/warm_up.rs
@@ -96,7 +96,7 @@
 
 /// An entry that has just started does not assume that it is the only one.
 #[test]
-fn new_entry_assumes_others() {
+fn other_entries_assumed() {
     let mut fleet = FleetSize::default();
     fleet.observe(1);
     assert!(fleet.sharers(Millis(200), true) > 30);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn warm_up_by_listed_record() {
+fn listed_warm_up() {
     let (clock, entry) = entry();
     let cold = ListedEndpoint {
         warming: Millis(2_000),
@@ -134,7 +134,7 @@
 
 /// Entries start one by one to treat a warmed-up endpoint as any other.
 #[test]
-fn entries_phase_in_one_by_one() {
+fn entries_start_singly() {
     let endpoint = digest("i-1", None);
     let until = |entry| shared_until(Millis(10_000), PeerId(entry), endpoint);
     let mut all: Vec<Millis> = (0..100).map(until).collect();
@@ -149,7 +149,7 @@
 
 /// An endpoint that never warmed up is not limited when its record changes.
 #[test]
-fn ordinary_change_not_limited() {
+fn ordinary_change_unlimited() {
     let (_, entry) = entry();
     entry.apply_listing(vec![listed("a", 1)], 1);
     entry.apply_changes(vec![Change::Put(listed("a", 2))], 2);
@@ -161,7 +161,7 @@
 
 /// Pools without a configured warm-up have no limit.
 #[test]
-fn pool_without_warm_up() {
+fn unconfigured_pool() {
     let (_, entry) = entry();
     let cold = ListedEndpoint {
         warming: Millis(2_000),
--- a/tests/zone_cordons.rs
+++ b/tests/zone_cordons.rs
@@ -47,7 +47,7 @@
 
 /// An endpoint that joins a cordoned zone gets no requests either.
 #[test]
-fn endpoint_joins_cordoned_zone() {
+fn joining_endpoint_excluded() {
     let mut directory = directory();
     directory.apply(Change::Cordoned(cordon(3)), Millis(10));
     directory.apply(Change::Put(listed("c", 4)), Millis(20));
@@ -56,7 +56,7 @@
 
 /// After a cordon ends, endpoints may be cold, whatever their records said before.
 #[test]
-fn warms_up_after_cordon() {
+fn warmed_after_cordon() {
     let mut directory = directory();
     let key = directory.key("a").unwrap();
     directory.apply(Change::Cordoned(cordon(3)), Millis(1_000));
